--- a/internal/caller/model.go
+++ b/internal/caller/model.go
@@ -210,7 +210,7 @@
 	if req.adapter != "" && !hasAdapter(m.Adapters, req.adapter) {
 		return nil, problem.New(problem.UnknownModel, "model "+m.Name+" has no adapter "+strconv.Quote(req.adapter))
 	}
-	tokens := prefix.Tokens(len(req.canonical))
+	tokens := prefix.EstimateTokens(len(req.canonical))
 	if m.MaxPromptTokens > 0 && tokens > m.MaxPromptTokens {
 		return nil, problem.New(problem.TooLarge, "the prompt is longer than the model takes")
 	}
--- a/internal/caller/other.go
+++ b/internal/caller/other.go
@@ -108,7 +108,7 @@
 	if err := e.stopsFirst(ctx, "service", e.Now().Add(dispatch.Timeout(s))); err != nil {
 		return nil, err
 	}
-	release, err := e.Admit.Admit(c.customer, prefix.Tokens(len(req.body)), c.view.Instances)
+	release, err := e.Admit.Admit(c.customer, prefix.EstimateTokens(len(req.body)), c.view.Instances)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/config/repo.go
+++ b/internal/config/repo.go
@@ -130,7 +130,7 @@
 		}
 		var down *platform.UnavailableError
 		if errors.As(err, &down) {
-			if !down.Unknown && !maybe {
+			if !down.OutcomeUnknown && !maybe {
 				return err
 			}
 			maybe = true
--- a/internal/core/cache/hints.go
+++ b/internal/core/cache/hints.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// Resident is how many leading keys the target is believed to hold.
-func (h *Hints) Resident(target string, keys []prefix.Key) int {
+// ResidentPrefix is how many leading keys the target is believed to hold.
+func (h *Hints) ResidentPrefix(target string, keys []prefix.Key) int {
 	e := h.find(target)
 	if e == nil || len(keys) == 0 {
 		return 0
@@ -102,8 +102,8 @@
 	return len(keys)
 }
 
-// Learn notes that the target now holds keys.
-func (h *Hints) Learn(target string, keys []prefix.Key) {
+// Add notes that the target now holds keys.
+func (h *Hints) Add(target string, keys []prefix.Key) {
 	if len(keys) == 0 {
 		return
 	}
@@ -144,8 +144,8 @@
 	e.next = (e.next + 1) % limit
 }
 
-// Forget notes that the target does not hold these keys (any more).
-func (h *Hints) Forget(target string, keys []prefix.Key) {
+// Remove notes that the target does not hold these keys (any more).
+func (h *Hints) Remove(target string, keys []prefix.Key) {
 	e := h.find(target)
 	if e == nil {
 		return
@@ -157,16 +157,16 @@
 	}
 }
 
-// Drop forgets all about a target: it restarted, swapped weights, or lost events.
-func (h *Hints) Drop(target string) {
+// RemoveTarget forgets all about a target: it restarted, swapped weights, or lost events.
+func (h *Hints) RemoveTarget(target string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.targets, target)
 }
 
-// Event applies one cache event. A sequence that is not the next one marks a
+// ApplyEvent applies one cache event. A sequence that is not the next one marks a
 // gap: what was lost may be a removal, so all that was believed is dropped.
-func (h *Hints) Event(target string, seq uint64, key prefix.Key, removed bool) (gap bool) {
+func (h *Hints) ApplyEvent(target string, seq uint64, key prefix.Key, removed bool) (gap bool) {
 	e, limit := h.holder(target), h.perTarget()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -186,8 +186,8 @@
 	return gap
 }
 
-// Keys is how many keys are remembered over all targets.
-func (h *Hints) Keys() int {
+// KeyCount is how many keys are remembered over all targets.
+func (h *Hints) KeyCount() int {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	n := 0
--- a/internal/core/cache/hints_test.go
+++ b/internal/core/cache/hints_test.go
@@ -48,9 +48,9 @@
 			is := is.New(t)
 			h := cache.NewHints(100)
 			for _, e := range c.events {
-				h.Event("t", e.seq, key(e.key), e.removed)
+				h.ApplyEvent("t", e.seq, key(e.key), e.removed)
 			}
-			is.Equal(h.Resident("t", keys(0, 3)), c.want)
+			is.Equal(h.ResidentPrefix("t", keys(0, 3)), c.want)
 		})
 	}
 }
@@ -60,20 +60,20 @@
 func TestBounds(t *testing.T) {
 	is := is.New(t)
 	h := cache.NewHints(10)
-	h.Learn("t", keys(0, 25))
-	is.Equal(h.Keys(), 10)
-	is.Equal(h.Resident("t", keys(15, 10)), 10)
-	is.Equal(h.Resident("t", keys(0, 5)), 0)
-	h.Forget("t", keys(15, 1))
-	is.Equal(h.Resident("t", keys(15, 10)), 0)
-	h.Drop("t")
-	is.Equal(h.Keys(), 0)
+	h.Add("t", keys(0, 25))
+	is.Equal(h.KeyCount(), 10)
+	is.Equal(h.ResidentPrefix("t", keys(15, 10)), 10)
+	is.Equal(h.ResidentPrefix("t", keys(0, 5)), 0)
+	h.Remove("t", keys(15, 1))
+	is.Equal(h.ResidentPrefix("t", keys(15, 10)), 0)
+	h.RemoveTarget("t")
+	is.Equal(h.KeyCount(), 0)
 
 	h = cache.NewHints(cache.DefaultHintKeys)
 	for i := range 600 {
-		h.Learn(fmt.Sprint("t", i), keys(i*10_000, 4000))
-		is.True(i%50 != 0 || h.Keys() <= cache.MaxHintKeys)
+		h.Add(fmt.Sprint("t", i), keys(i*10_000, 4000))
+		is.True(i%50 != 0 || h.KeyCount() <= cache.MaxHintKeys)
 	}
-	is.True(h.Keys() <= cache.MaxHintKeys)
-	is.Equal(h.Resident("t0", keys(0, 4000)), 0) // its first ones made room
+	is.True(h.KeyCount() <= cache.MaxHintKeys)
+	is.Equal(h.ResidentPrefix("t0", keys(0, 4000)), 0) // its first ones made room
 }
--- a/internal/core/stock/bounds.go
+++ b/internal/core/cachestore/bounds.go
@@ -1,4 +1,4 @@
-package stock
+package cachestore
 
 import "time"
 
@@ -49,8 +49,8 @@
 	return s.Tokens(k, now, min(maxAge, b.FetchAge))
 }
 
-// TakesSaves says whether anything may be saved in the store.
-func (s *Inventory) TakesSaves(now time.Time, b Bounds) bool {
+// AcceptsSaves says whether anything may be saved in the store.
+func (s *Inventory) AcceptsSaves(now time.Time, b Bounds) bool {
 	return s.known && now.Sub(s.whole) <= b.SaveAge && now.Sub(s.since) >= b.SaveDelay()
 }
 
@@ -58,5 +58,5 @@
 func (s *Inventory) Savable(k Key, now time.Time, b Bounds) bool {
 	_, held := s.held[k]
 	at, gone := s.gone[k]
-	return !held && !(gone && now.Sub(at) < b.SaveDelay()) && s.TakesSaves(now, b)
+	return !held && !(gone && now.Sub(at) < b.SaveDelay()) && s.AcceptsSaves(now, b)
 }
--- a/internal/core/stock/bounds_test.go
+++ b/internal/core/cachestore/bounds_test.go
@@ -1,4 +1,4 @@
-package stock_test
+package cachestore_test
 
 import (
 	"fmt"
@@ -7,11 +7,11 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/shedhoist/shedhoist/internal/core/stock"
+	"github.com/shedhoist/shedhoist/internal/core/cachestore"
 )
 
 // modelBounds are small, so that few steps lead past them.
-var modelBounds = stock.Bounds{SaveAge: 7 * tick, SaveTime: 5 * tick, FetchAge: 16 * tick, FetchTime: 10 * tick}
+var modelBounds = cachestore.Bounds{SaveAge: 7 * tick, SaveTime: 5 * tick, FetchAge: 16 * tick, FetchTime: 10 * tick}
 
 // tick is the model's granule of time.
 const tick = time.Millisecond
@@ -20,20 +20,20 @@
 // tells of it.
 type modelStore struct {
 	epoch   uint64
-	held    map[stock.Key]bool
-	writing map[stock.Key]time.Time // by when the write is over
-	writer  map[stock.Key]int       // whose save it is
-	log     []stock.Event
+	held    map[cachestore.Key]bool
+	writing map[cachestore.Key]time.Time // by when the write is over
+	writer  map[cachestore.Key]int       // whose save it is
+	log     []cachestore.Event
 	lost    map[int]bool // events that are never told, by place in the log
 
-	lateUntil map[stock.Key]time.Time // by when a late write is over
+	lateUntil map[cachestore.Key]time.Time // by when a late write is over
 }
 
 func newModelStore(epoch uint64) *modelStore {
-	return &modelStore{epoch: epoch, held: map[stock.Key]bool{}, writing: map[stock.Key]time.Time{}, writer: map[stock.Key]int{}, lost: map[int]bool{}, lateUntil: map[stock.Key]time.Time{}}
+	return &modelStore{epoch: epoch, held: map[cachestore.Key]bool{}, writing: map[cachestore.Key]time.Time{}, writer: map[cachestore.Key]int{}, lost: map[int]bool{}, lateUntil: map[cachestore.Key]time.Time{}}
 }
 
-func (s *modelStore) tells(e stock.Event, lost bool) {
+func (s *modelStore) tells(e cachestore.Event, lost bool) {
 	s.log = append(s.log, e)
 	s.lost[len(s.log)-1] = lost
 }
@@ -43,17 +43,17 @@
 	to     int
 	from   int // an instance; -1: the store
 	asked  time.Time
-	word   stock.Answer // Heard is set on arrival
+	word   cachestore.Response // Heard is set on arrival
 	list   bool
 	gap    bool
-	held   []stock.Held
+	held   []cachestore.StoredPart
 	ages   []time.Duration // of held, by the teller's clock
-	events []stock.Event
+	events []cachestore.Event
 }
 
 // modelInstance is an instance with a clock of its own.
 type modelInstance struct {
-	stock.Inventory
+	cachestore.Inventory
 	ahead time.Duration // of its clock
 	asks  bool          // an answer is on its way to it
 	told  bool          // its knowledge is from another instance: to follow the store itself, it lists it first
@@ -63,7 +63,7 @@
 // parts it had asked to save.
 type modelReport struct {
 	epoch, next uint64
-	pending     map[stock.Key]bool
+	pending     map[cachestore.Key]bool
 }
 
 // modelWord is a report on its way.
@@ -75,7 +75,7 @@
 // modelSave is a save that was asked for and has not taken place.
 type modelSave struct {
 	owner int
-	key   stock.Key
+	key   cachestore.Key
 	told  time.Time // from then on all know that it is late
 	until time.Time // by when it is over
 }
@@ -89,14 +89,14 @@
 	instances []*modelInstance
 	answers   []modelAnswer
 	saves     []modelSave
-	fetches   map[stock.Key]time.Time // by when the last of them is over
-	words     []modelWord             // those of one instance to another stay in order
-	reports   map[[2]int]modelReport  // by teller and hearer
+	fetches   map[cachestore.Key]time.Time // by when the last of them is over
+	words     []modelWord                  // those of one instance to another stay in order
+	reports   map[[2]int]modelReport       // by teller and hearer
 	counts    map[string]int
 }
 
 func newCacheModel(t *rapid.T) *cacheModel {
-	m := &cacheModel{t: t, now: time.Unix(1000, 0), store: newModelStore(1), fetches: map[stock.Key]time.Time{}, reports: map[[2]int]modelReport{}, counts: map[string]int{}}
+	m := &cacheModel{t: t, now: time.Unix(1000, 0), store: newModelStore(1), fetches: map[cachestore.Key]time.Time{}, reports: map[[2]int]modelReport{}, counts: map[string]int{}}
 	for i := range 3 {
 		m.instances = append(m.instances, &modelInstance{ahead: time.Duration(i) * time.Hour})
 	}
@@ -107,8 +107,8 @@
 
 func (m *cacheModel) draw(name string, n int) int { return rapid.IntRange(0, n-1).Draw(m.t, name) }
 
-func (m *cacheModel) key() stock.Key {
-	return stock.Key{Salt: "s", Part: fmt.Sprint(m.draw("part", 2))}
+func (m *cacheModel) key() cachestore.Key {
+	return cachestore.Key{Salt: "s", Part: fmt.Sprint(m.draw("part", 2))}
 }
 
 // wait lets time pass: writes end.
@@ -120,7 +120,7 @@
 		}
 		delete(m.store.writing, k)
 		m.store.held[k] = true
-		m.store.tells(stock.Event{Key: k, Added: true, Tokens: 1}, m.chance("lost", 10))
+		m.store.tells(cachestore.Event{Key: k, Added: true, Tokens: 1}, m.chance("lost", 10))
 	}
 	for _, s := range m.saves {
 		if !m.now.Before(s.until) {
@@ -175,10 +175,10 @@
 	}
 	x.asks = true
 	_, next, known := x.Position()
-	a := modelAnswer{to: i, from: -1, asked: m.clock(i), word: stock.Answer{Epoch: m.store.epoch, Next: uint64(len(m.store.log))}, list: !known || x.HasGap() || x.told}
+	a := modelAnswer{to: i, from: -1, asked: m.clock(i), word: cachestore.Response{Epoch: m.store.epoch, NextEvent: uint64(len(m.store.log))}, list: !known || x.HasGap() || x.told}
 	if a.list {
 		for k := range m.store.held {
-			a.held = append(a.held, stock.Held{Key: k, Tokens: 1})
+			a.held = append(a.held, cachestore.StoredPart{Key: k, Tokens: 1})
 		}
 	} else {
 		for n := int(next); n < len(m.store.log); n++ {
@@ -200,11 +200,11 @@
 		return
 	}
 	y.asks = true
-	a := modelAnswer{to: to, from: from, asked: m.clock(to), word: stock.Answer{Epoch: epoch, Next: next}, list: true, held: x.All()}
+	a := modelAnswer{to: to, from: from, asked: m.clock(to), word: cachestore.Response{Epoch: epoch, NextEvent: next}, list: true, held: x.All()}
 	a.word.AsOf = m.clock(to).Add(-m.clock(from).Sub(x.AsOf()))
-	a.word.Whole = m.clock(to).Add(-m.clock(from).Sub(x.Whole()))
+	a.word.CompleteAsOf = m.clock(to).Add(-m.clock(from).Sub(x.CompleteAsOf()))
 	for _, h := range a.held {
-		a.ages = append(a.ages, m.clock(from).Sub(h.At))
+		a.ages = append(a.ages, m.clock(from).Sub(h.CompletedAt))
 	}
 	m.answers = append(m.answers, a)
 }
@@ -216,14 +216,14 @@
 	x, now := m.instances[a.to], m.clock(a.to)
 	x.asks, x.told = false, a.from >= 0
 	if a.from < 0 {
-		a.word.AsOf, a.word.Whole = a.asked, a.asked
+		a.word.AsOf, a.word.CompleteAsOf = a.asked, a.asked
 	}
 	for i := range a.ages {
-		a.held[i].At = now.Add(-a.ages[i])
+		a.held[i].CompletedAt = now.Add(-a.ages[i])
 	}
-	a.word.Heard = now
+	a.word.Received = now
 	if a.list {
-		x.List(a.word, a.held)
+		x.Replace(a.word, a.held)
 		return
 	}
 	x.Apply(a.word, a.gap, a.events)
@@ -275,7 +275,7 @@
 	if from == to || !known || x.told || x.HasGap() {
 		return
 	}
-	r := modelReport{epoch: epoch, next: next, pending: map[stock.Key]bool{}}
+	r := modelReport{epoch: epoch, next: next, pending: map[cachestore.Key]bool{}}
 	for _, s := range m.saves {
 		r.pending[s.key] = r.pending[s.key] || s.owner == from
 	}
@@ -298,7 +298,7 @@
 
 // allReported says whether all others told an instance that they know an event, and that no
 // save of a part which they asked for before may be under way.
-func (m *cacheModel) allReported(to int, k stock.Key, epoch, event uint64) bool {
+func (m *cacheModel) allReported(to int, k cachestore.Key, epoch, event uint64) bool {
 	for from := range m.instances {
 		r := m.reports[[2]int{from, to}]
 		if from != to && (r.epoch != epoch || r.next < event || r.pending[k]) {
@@ -315,7 +315,7 @@
 }
 
 // isLate says whether a save of a part is known to be late.
-func (m *cacheModel) isLate(k stock.Key) bool {
+func (m *cacheModel) isLate(k cachestore.Key) bool {
 	for _, s := range m.saves {
 		if s.key == k && !m.now.Before(s.told) {
 			return true
@@ -369,7 +369,7 @@
 		if k := m.key(); m.store.held[k] && m.allKnow(k) && m.chance("free", 3) {
 			m.counts["free"]++
 			delete(m.store.held, k)
-			m.store.tells(stock.Event{Key: k}, m.chance("lost", 10))
+			m.store.tells(cachestore.Event{Key: k}, m.chance("lost", 10))
 		}
 	}
 	m.wait(time.Duration(m.draw("wait", 4)) * tick / 2)
@@ -377,7 +377,7 @@
 
 // allKnow says whether all instances have heard that a part is held: a store drops parts that
 // were complete for long.
-func (m *cacheModel) allKnow(k stock.Key) bool {
+func (m *cacheModel) allKnow(k cachestore.Key) bool {
 	for i, x := range m.instances {
 		if epoch, _, _ := x.Position(); epoch != m.store.epoch || x.Tokens(k, m.clock(i), time.Hour) == 0 {
 			return false
--- a/internal/core/stock/stock.go
+++ b/internal/core/cachestore/inventory.go
@@ -7,7 +7,7 @@
 //     that the part is complete. Nothing else may be fetched.
 //   - At no moment may one instance still fetch a part from a store while a save of the
 //     part that another instance asked for may yet write it there anew: see Bounds.
-package stock
+package cachestore
 
 import (
 	"math"
@@ -24,15 +24,15 @@
 // Salt is the text under which a part may be found. Parts of different walls,
 // models or weight versions never share one.
 type Salt struct {
-	Wall    string // see catalog.Config.Wall
-	Model   string
-	Version uint64
+	CacheScope string // see catalog.Config.Wall
+	Model      string
+	Version    uint64
 }
 
 // String encodes a salt. The wall is hashed, so that a salt stays short and
 // tells no customer's name.
 func (s Salt) String() string {
-	return strconv.FormatUint(xxhash.Sum64String(s.Wall), 16) + "." + strconv.FormatUint(s.Version, 10) + "." + s.Model
+	return strconv.FormatUint(xxhash.Sum64String(s.CacheScope), 16) + "." + strconv.FormatUint(s.Version, 10) + "." + s.Model
 }
 
 // ParseSalt returns the model and the weight version of an encoded salt.
@@ -43,20 +43,20 @@
 	return model, version, ok1 && ok2 && err == nil
 }
 
-// Held is one part as a store lists it.
-type Held struct {
+// StoredPart is one part as a store lists it.
+type StoredPart struct {
 	Key
-	Tokens   int       // complete
-	Reserved int       // space taken, of a part that is not complete
-	At       time.Time // by when it was complete; zero: when this is heard
+	Tokens      int       // complete
+	Reserved    int       // space taken, of a part that is not complete
+	CompletedAt time.Time // by when it was complete; zero: when this is heard
 }
 
 // Event is one change that a store tells.
 type Event struct {
 	Key
-	Added  bool
-	Tokens int       // held now
-	At     time.Time // by when an added part was complete; zero: when this is heard
+	Added       bool
+	Tokens      int       // held now
+	CompletedAt time.Time // by when an added part was complete; zero: when this is heard
 }
 
 // blockTokens is the granule in which stores hand out space.
@@ -64,15 +64,15 @@
 
 func space(tokens int) int { return (tokens + blockTokens - 1) / blockTokens * blockTokens }
 
-// Answer is the epoch of what a store told, and the times between which it was true. A store's
+// Response is the epoch of what a store told, and the times between which it was true. A store's
 // answer holds as of some moment between the question and its arrival: an age counts from the
 // question, a delay from the arrival.
-type Answer struct {
-	Epoch uint64    // of the store: changes when it starts again, empty
-	Next  uint64    // the event to go on from
-	AsOf  time.Time // when the store was asked
-	Whole time.Time // the last such moment for which no event is missing
-	Heard time.Time // when this instance heard it
+type Response struct {
+	Epoch        uint64    // of the store: changes when it starts again, empty
+	NextEvent    uint64    // the event to go on from
+	AsOf         time.Time // when the store was asked
+	CompleteAsOf time.Time // the last such moment for which no event is missing
+	Received     time.Time // when this instance heard it
 }
 
 // Inventory is what is known of one store. The zero value knows nothing.
@@ -108,8 +108,8 @@
 	since  time.Time // first seen with these tokens
 }
 
-// Broken takes the incomplete parts of a list, heard at now.
-func (s *Inventory) Broken(partial []Held, now time.Time) {
+// SetIncomplete takes the incomplete parts of a list, heard at now.
+func (s *Inventory) SetIncomplete(partial []StoredPart, now time.Time) {
 	next := make(map[Key]brokenPart, len(partial))
 	for _, p := range partial {
 		b, seen := s.broken[p.Key]
@@ -121,9 +121,9 @@
 	s.broken, s.brokenAt = next, now
 }
 
-// Stuck returns the parts that two lists at least d apart, and no event since,
+// Stalled returns the parts that two lists at least d apart, and no event since,
 // show incomplete and of the same size.
-func (s *Inventory) Stuck(d time.Duration) []Key {
+func (s *Inventory) Stalled(d time.Duration) []Key {
 	var out []Key
 	for k, b := range s.broken {
 		if s.brokenAt.Sub(b.since) >= d {
@@ -137,34 +137,34 @@
 // store must be listed first.
 func (s *Inventory) Position() (epoch, next uint64, known bool) { return s.epoch, s.next, s.known }
 
-// List takes a whole list. It returns what it changes; anew says that this is no mere
+// Replace takes a whole list. It returns what it changes; anew says that this is no mere
 // change: the store was not known, or started again.
-func (s *Inventory) List(a Answer, held []Held) (changes []Event, anew bool) {
+func (s *Inventory) Replace(a Response, held []StoredPart) (changes []Event, anew bool) {
 	anew = !s.known || s.epoch != a.Epoch
 	if s.epoch != a.Epoch || s.since.IsZero() {
-		s.since, s.gone, s.former = a.Heard, nil, nil
+		s.since, s.gone, s.former = a.Received, nil, nil
 	}
 	before := s.held
-	s.epoch, s.next, s.known = a.Epoch, a.Next, true
-	s.asOf, s.whole, s.gap = a.AsOf, a.Whole, false
+	s.epoch, s.next, s.known = a.Epoch, a.NextEvent, true
+	s.asOf, s.whole, s.gap = a.AsOf, a.CompleteAsOf, false
 	s.held, s.used = make(map[Key]heldPart, len(held)), 0
 	for _, h := range held {
-		at, event := h.At, uint64(0)
+		at, event := h.CompletedAt, uint64(0)
 		if old, had := before[h.Key]; had && old.at.Before(at) {
 			at, event = old.at, old.event // it is taken for the same
 		}
-		s.add(Event{Key: h.Key, Tokens: h.Tokens, At: at}, event, a.Heard)
+		s.add(Event{Key: h.Key, Tokens: h.Tokens, CompletedAt: at}, event, a.Received)
 	}
-	s.forgetGone(a.Heard)
+	s.forgetGone(a.Received)
 	for k := range s.former {
 		if _, still := s.held[k]; !still {
-			s.goes(k, a.Heard)
+			s.goes(k, a.Received)
 		}
 	}
 	s.former = nil
 	for k := range before {
 		if _, still := s.held[k]; !still {
-			s.goes(k, a.Heard)
+			s.goes(k, a.Received)
 			changes = append(changes, Event{Key: k})
 		}
 	}
@@ -181,9 +181,9 @@
 
 // Apply takes a page of events. It returns false if the store must be listed anew: it
 // started again, or events were lost.
-func (s *Inventory) Apply(a Answer, gap bool, events []Event) bool {
+func (s *Inventory) Apply(a Response, gap bool, events []Event) bool {
 	if !s.known || a.Epoch != s.epoch {
-		s.Forget()
+		s.Invalidate()
 		return false
 	}
 	for _, e := range events {
@@ -191,28 +191,28 @@
 		delete(s.broken, e.Key)
 		switch {
 		case e.Added:
-			event := a.Next
-			if !e.At.IsZero() {
+			event := a.NextEvent
+			if !e.CompletedAt.IsZero() {
 				event = 0 // another instance's word, whose numbers are its own
 			}
-			s.add(e, event, a.Heard)
+			s.add(e, event, a.Received)
 		case had:
 			s.drop(e.Key)
-			s.goes(e.Key, a.Heard)
+			s.goes(e.Key, a.Received)
 		}
 	}
-	s.next = a.Next
+	s.next = a.NextEvent
 	s.asOf = later(s.asOf, a.AsOf) // another instance's answer may be older than the last one's
 	s.gap = s.gap || gap
 	if !s.gap {
-		s.whole = later(s.whole, a.Whole)
+		s.whole = later(s.whole, a.CompleteAsOf)
 	}
 	return !gap
 }
 
 // add takes a part as complete, heard at a time.
 func (s *Inventory) add(e Event, event uint64, heard time.Time) {
-	at := e.At
+	at := e.CompletedAt
 	if at.IsZero() {
 		at = heard
 	}
@@ -255,19 +255,19 @@
 }
 
 // All returns all that the store holds.
-func (s *Inventory) All() []Held {
-	out := make([]Held, 0, len(s.held))
+func (s *Inventory) All() []StoredPart {
+	out := make([]StoredPart, 0, len(s.held))
 	for k, part := range s.held {
-		out = append(out, Held{Key: k, Tokens: part.tokens, At: part.at})
+		out = append(out, StoredPart{Key: k, Tokens: part.tokens, CompletedAt: part.at})
 	}
 	return out
 }
 
-// CompleteBy is by when a held part was complete; zero: it is not held.
-func (s *Inventory) CompleteBy(k Key) time.Time { return s.held[k].at }
+// CompletedAt is by when a held part was complete; zero: it is not held.
+func (s *Inventory) CompletedAt(k Key) time.Time { return s.held[k].at }
 
-// Drop takes parts as no longer held, ahead of the store's own word, heard at now.
-func (s *Inventory) Drop(parts []Key, now time.Time) {
+// Remove takes parts as no longer held, ahead of the store's own word, heard at now.
+func (s *Inventory) Remove(parts []Key, now time.Time) {
 	for _, k := range parts {
 		s.drop(k)
 		s.goes(k, now)
@@ -275,9 +275,9 @@
 	}
 }
 
-// Forget drops all knowledge of the contents: the store does not answer, or
+// Invalidate drops all knowledge of the contents: the store does not answer, or
 // started again. Its epoch stays in mind, to tell a restart from a silence.
-func (s *Inventory) Forget() {
+func (s *Inventory) Invalidate() {
 	former := s.former
 	if s.known {
 		former = s.held
@@ -288,8 +288,8 @@
 // AsOf is as of when the store's newest word holds.
 func (s *Inventory) AsOf() time.Time { return s.asOf }
 
-// Whole is as of when held lacks no part that was complete.
-func (s *Inventory) Whole() time.Time { return s.whole }
+// CompleteAsOf is as of when held lacks no part that was complete.
+func (s *Inventory) CompleteAsOf() time.Time { return s.whole }
 
 // HasGap says that events were lost since the last list.
 func (s *Inventory) HasGap() bool { return s.gap }
@@ -312,9 +312,9 @@
 	return s.known && now.Sub(s.asOf) <= maxAge
 }
 
-// Older returns the parts whose weights are of an older version than those in
+// Outdated returns the parts whose weights are of an older version than those in
 // oldest, which has each model's oldest version still in use; at most limit.
-func (s *Inventory) Older(oldest map[string]uint64, limit int) []Key {
+func (s *Inventory) Outdated(oldest map[string]uint64, limit int) []Key {
 	var out []Key
 	for k := range s.held {
 		model, version, ok := ParseSalt(k.Salt)
@@ -328,13 +328,13 @@
 	return out
 }
 
-// Place is one store that a part may be kept in.
-type Place struct {
-	Address   string
-	Capacity  int // tokens
-	Used      int // tokens
-	FirstByte time.Duration
-	Near      bool // in the zone of the target that saves the part
+// Candidate is one store that a part may be kept in.
+type Candidate struct {
+	Address        string
+	Capacity       int // tokens
+	Used           int // tokens
+	FirstByteDelay time.Duration
+	SameZone       bool // in the zone of the target that saves the part
 }
 
 const (
@@ -355,28 +355,28 @@
 // they are few and asked for by all targets at once. Other parts go to near stores as long
 // as these have room: the prompts that ask for them again go to targets of the same zone.
 // -1: none has room.
-func Home(k Key, tokens int, head bool, places []Place) int {
+func Home(k Key, tokens int, head bool, places []Candidate) int {
 	fastest := time.Duration(math.MaxInt64)
 	for _, p := range places {
-		fastest = min(fastest, p.FirstByte)
+		fastest = min(fastest, p.FirstByteDelay)
 	}
 	kept := keptForHeads
 	if head {
 		kept = 0
 	}
 	if head || tokens <= smallPart {
-		if i := pick(k, tokens, kept, places, func(p Place) float64 { return only(p.FirstByte == fastest) }); i >= 0 {
+		if i := pick(k, tokens, kept, places, func(p Candidate) float64 { return only(p.FirstByteDelay == fastest) }); i >= 0 {
 			return i
 		}
 	}
-	share := func(p Place) float64 {
-		if p.FirstByte == fastest && tokens > smallPart {
+	share := func(p Candidate) float64 {
+		if p.FirstByteDelay == fastest && tokens > smallPart {
 			return fastForLarge
 		}
 		return 1
 	}
 	if !head {
-		if i := pick(k, tokens, kept, places, func(p Place) float64 { return only(p.Near) * share(p) }); i >= 0 {
+		if i := pick(k, tokens, kept, places, func(p Candidate) float64 { return only(p.SameZone) * share(p) }); i >= 0 {
 			return i
 		}
 	}
@@ -392,7 +392,7 @@
 
 // pick draws a place with room, by capacity times share. kept is the share of the space
 // that is not for this part.
-func pick(k Key, tokens int, kept float64, places []Place, share func(Place) float64) int {
+func pick(k Key, tokens int, kept float64, places []Candidate, share func(Candidate) float64) int {
 	best, top := -1, math.Inf(-1)
 	for i, p := range places {
 		weight := float64(p.Capacity) * share(p)
--- a/internal/core/stock/journal.go
+++ b/internal/core/cachestore/journal.go
@@ -1,4 +1,4 @@
-package stock
+package cachestore
 
 // journalSize is how many changes a journal remembers at least, and half of what it
 // remembers at most: some seconds of saves of a large fleet. Whoever is further
@@ -22,8 +22,8 @@
 // Seq is the number of the last change.
 func (j *Journal) Seq() uint64 { return j.seq }
 
-// Add notes changes of a store.
-func (j *Journal) Add(store string, events []Event) {
+// Append notes changes of a store.
+func (j *Journal) Append(store string, events []Event) {
 	for _, e := range events {
 		j.seq++
 		j.changes = append(j.changes, journaled{store: store, Event: e})
@@ -33,8 +33,8 @@
 	}
 }
 
-// Renew says that a store was listed anew: nothing told of it before counts.
-func (j *Journal) Renew(store string) {
+// MarkRelisted says that a store was listed anew: nothing told of it before counts.
+func (j *Journal) MarkRelisted(store string) {
 	j.seq++
 	j.changes = append(j.changes, journaled{}) // keeps numbers and places in step
 	if j.whole == nil {
--- a/internal/core/stock/journal_test.go
+++ b/internal/core/cachestore/journal_test.go
@@ -1,4 +1,4 @@
-package stock_test
+package cachestore_test
 
 import (
 	"fmt"
@@ -9,11 +9,11 @@
 
 	"github.com/matryer/is"
 
-	"github.com/shedhoist/shedhoist/internal/core/stock"
+	"github.com/shedhoist/shedhoist/internal/core/cachestore"
 )
 
 // contents is what an inventory holds, by part.
-func contents(s *stock.Inventory) map[string]int {
+func contents(s *cachestore.Inventory) map[string]int {
 	out := map[string]int{}
 	for _, h := range s.All() {
 		out[h.Part] = h.Tokens
@@ -28,36 +28,36 @@
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(7, 1))
 	const store = "a"
-	var source, copied stock.Inventory
-	var j stock.Journal
+	var source, copied cachestore.Inventory
+	var j cachestore.Journal
 	seq, epoch, now := uint64(0), uint64(1), time.Unix(0, 0)
-	key := func() stock.Key { return stock.Key{Salt: "s", Part: fmt.Sprint(r.IntN(40))} }
-	list := func(held []stock.Held) {
-		changes, anew := source.List(word(epoch, 1, now), held)
+	key := func() cachestore.Key { return cachestore.Key{Salt: "s", Part: fmt.Sprint(r.IntN(40))} }
+	list := func(held []cachestore.StoredPart) {
+		changes, anew := source.Replace(word(epoch, 1, now), held)
 		if anew {
-			j.Renew(store)
+			j.MarkRelisted(store)
 		}
-		j.Add(store, changes)
+		j.Append(store, changes)
 	}
 	wholes := 0
 	for step := range 20_000 {
 		now = now.Add(time.Millisecond)
 		switch n := r.IntN(1000); {
 		case n < 900:
-			e := stock.Event{Key: key(), Added: r.IntN(3) > 0, Tokens: 1 + r.IntN(99)}
-			if source.Apply(word(epoch, 1, now), false, []stock.Event{e}) {
-				j.Add(store, []stock.Event{e})
+			e := cachestore.Event{Key: key(), Added: r.IntN(3) > 0, Tokens: 1 + r.IntN(99)}
+			if source.Apply(word(epoch, 1, now), false, []cachestore.Event{e}) {
+				j.Append(store, []cachestore.Event{e})
 			}
 		case n < 950:
 			held := source.All()
-			list(append(held[:len(held)/2:len(held)/2], stock.Held{Key: key(), Tokens: 7}))
+			list(append(held[:len(held)/2:len(held)/2], cachestore.StoredPart{Key: key(), Tokens: 7}))
 		case n < 955:
 			epoch++
 			list(nil)
 		case n < 960:
-			source.Forget()
+			source.Invalidate()
 		case n < 963:
-			j.Add("another", make([]stock.Event, 9000)) // more than are remembered
+			j.Append("another", make([]cachestore.Event, 9000)) // more than are remembered
 		}
 		if step%50 != 0 {
 			continue
@@ -66,7 +66,7 @@
 			events, whole := j.Since(store, seq)
 			if whole {
 				wholes++
-				copied.List(word(at, 0, now), source.All())
+				copied.Replace(word(at, 0, now), source.All())
 			} else {
 				is.True(copied.Apply(word(at, 0, now), false, events))
 			}
@@ -81,17 +81,17 @@
 // a silence that is no restart changes nothing.
 func TestSettled(t *testing.T) {
 	is := is.New(t)
-	var s stock.Inventory
+	var s cachestore.Inventory
 	at := func(seconds int) time.Time { return time.Unix(int64(seconds), 0) }
-	b := stock.Bounds{SaveAge: time.Minute, FetchAge: 2 * time.Second, FetchTime: time.Second}
-	s.List(word(1, 0, at(0)), nil)
-	is.True(!s.TakesSaves(at(2), b))
-	is.True(s.TakesSaves(at(3), b))
-	s.Forget()
-	is.True(!s.TakesSaves(at(4), b)) // not known
-	s.List(word(1, 0, at(5)), nil)
-	is.True(s.TakesSaves(at(5), b))
-	s.List(word(2, 0, at(6)), nil)
-	is.True(!s.TakesSaves(at(8), b))
-	is.True(s.TakesSaves(at(9), b))
+	b := cachestore.Bounds{SaveAge: time.Minute, FetchAge: 2 * time.Second, FetchTime: time.Second}
+	s.Replace(word(1, 0, at(0)), nil)
+	is.True(!s.AcceptsSaves(at(2), b))
+	is.True(s.AcceptsSaves(at(3), b))
+	s.Invalidate()
+	is.True(!s.AcceptsSaves(at(4), b)) // not known
+	s.Replace(word(1, 0, at(5)), nil)
+	is.True(s.AcceptsSaves(at(5), b))
+	s.Replace(word(2, 0, at(6)), nil)
+	is.True(!s.AcceptsSaves(at(8), b))
+	is.True(s.AcceptsSaves(at(9), b))
 }
--- a/internal/core/stock/saves.go
+++ b/internal/core/cachestore/saves.go
@@ -1,14 +1,14 @@
-package stock
+package cachestore
 
 import (
 	"slices"
 	"time"
 )
 
-// Saves are an instance's own saves that may not be over. A save has no end of its own: it is
+// PendingSaves are an instance's own saves that may not be over. A save has no end of its own: it is
 // over when its request is answered, and one whose request was left unanswered may take
 // place for as long as its target is silent. The zero value has none.
-type Saves struct{ pending []*Save }
+type PendingSaves struct{ pending []*Save }
 
 // Save is what one request asks a target to save.
 type Save struct {
@@ -30,14 +30,14 @@
 	doubtTime = 1500 * time.Millisecond
 )
 
-// Signs are what is known of a target.
-type Signs struct {
-	Heard  time.Time     // when it last answered this instance anything; zero: never
-	Silent time.Duration // for how long it has answered nothing that it was asked, by anybody
+// TargetActivity are what is known of a target.
+type TargetActivity struct {
+	LastResponse    time.Time     // when it last answered this instance anything; zero: never
+	UnresponsiveFor time.Duration // for how long it has answered nothing that it was asked, by anybody
 }
 
 // Begin notes a request that asks a target to save parts.
-func (s *Saves) Begin(target string, parts []Key, now time.Time) *Save {
+func (s *PendingSaves) Begin(target string, parts []Key, now time.Time) *Save {
 	x := &Save{Target: target, parts: parts, began: now}
 	s.pending = append(s.pending, x)
 	return x
@@ -49,12 +49,12 @@
 // NotSent notes that a save's request never left.
 func (x *Save) NotSent(now time.Time) { x.over = now }
 
-// Left notes that a save's request was given up without an answer.
-func (x *Save) Left(now time.Time) { x.left, x.over = now, now.Add(lostTime) }
+// Abandoned notes that a save's request was given up without an answer.
+func (x *Save) Abandoned(now time.Time) { x.left, x.over = now, now.Add(lostTime) }
 
-// Late returns the parts of the saves that have been under way for some time or longer, by
+// PendingParts returns the parts of the saves that have been under way for some time or longer, by
 // the signs of their targets.
-func (s *Saves) Late(now time.Time, after time.Duration, signs func(target string) Signs) []Key {
+func (s *PendingSaves) PendingParts(now time.Time, after time.Duration, signs func(target string) TargetActivity) []Key {
 	s.pending = slices.DeleteFunc(s.pending, func(x *Save) bool {
 		if !x.left.IsZero() {
 			x.settle(now, signs(x.Target))
@@ -71,12 +71,12 @@
 }
 
 // settle says when a save that was left is over, by what is known of its target now.
-func (x *Save) settle(now time.Time, is Signs) {
+func (x *Save) settle(now time.Time, is TargetActivity) {
 	over := x.over
 	switch {
-	case is.Heard.After(x.left):
-		over = is.Heard.Add(writeTime)
-	case now.Sub(x.left) >= doubtTime && is.Silent < doubtTime:
+	case is.LastResponse.After(x.left):
+		over = is.LastResponse.Add(writeTime)
+	case now.Sub(x.left) >= doubtTime && is.UnresponsiveFor < doubtTime:
 		over = now
 	}
 	if over.Before(x.over) {
--- a/internal/core/stock/seed_test.go
+++ b/internal/core/cachestore/seed_test.go
@@ -1,4 +1,4 @@
-package stock_test
+package cachestore_test
 
 import "flag"
 
--- a/internal/core/place/cold_test.go
+++ b/internal/core/place/cold_test.go
@@ -16,7 +16,7 @@
 // homeAt is where an instance places a prompt with a subject, if all else is alike.
 func homeAt(targets []place.Target, subject string) int {
 	p := policy.Default()
-	p.Spread = false
+	p.ScoreJitter = false
 	return place.Decide(targets, place.Query{Subject: subject, SharedMS: 100, Policy: p, Rand: func() float64 { return 0 }}).Index
 }
 
--- a/internal/core/place/place.go
+++ b/internal/core/place/place.go
@@ -231,10 +231,10 @@
 	if t.Zone != q.Zone {
 		s += otherZoneMS + otherZoneKBMS*float64(q.Bytes)/1024
 	}
-	if q.Policy.OldWeights && t.BehindFor >= oldGrace {
+	if q.Policy.OldWeightsPenalty && t.BehindFor >= oldGrace {
 		s *= oldWeights
 	}
-	if !q.Policy.Spread {
+	if !q.Policy.ScoreJitter {
 		return s
 	}
 	return s * (1 + spread*q.Rand())
--- a/internal/core/policy/policy_test.go
+++ b/internal/core/policy/policy_test.go
@@ -25,7 +25,7 @@
 	is.NoErr(err)
 	is.Equal(none, policy.Policy{})
 	_, err = all.Without("admission", "magic")
-	var unknown *policy.UnknownError
+	var unknown *policy.UnknownMechanismError
 	is.True(errors.As(err, &unknown))
 	is.Equal(unknown.Name, "magic")
 }
--- a/internal/core/prefix/prefix.go
+++ b/internal/core/prefix/prefix.go
@@ -82,8 +82,8 @@
 	return binary.BigEndian.Uint64(mac.Sum(sum[:0]))
 }
 
-// Tokens estimates the tokens in n bytes of prompt, rounded up.
-func Tokens(n int) int { return (n + BytesPerToken - 1) / BytesPerToken }
+// EstimateTokens estimates the tokens in n bytes of prompt, rounded up.
+func EstimateTokens(n int) int { return (n + BytesPerToken - 1) / BytesPerToken }
 
 // Message is one turn of a chat.
 type Message struct {
--- a/internal/daemon/admit.go
+++ b/internal/daemon/admit.go
@@ -37,7 +37,7 @@
 	err := state.Admit(c.Rates, promptTokens, a.shares.Share(c.Name, instances, now), now)
 	var refused *limit.RefusedError
 	if errors.As(err, &refused) {
-		metric.Refused(c.Name, string(refused.Reason)).Inc()
+		metric.LimitRefusals(c.Name, string(refused.Reason)).Inc()
 		p := problem.New(problem.LimitExceeded, "customer "+c.Name+" is over its limit of "+string(refused.Reason))
 		p.RetryAfter = refused.Wait
 		return nil, p
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -25,6 +25,7 @@
 	"github.com/shedhoist/shedhoist/internal/core/route"
 	"github.com/shedhoist/shedhoist/internal/dispatch"
 	"github.com/shedhoist/shedhoist/internal/drain"
+	"github.com/shedhoist/shedhoist/internal/explain"
 	"github.com/shedhoist/shedhoist/internal/keys"
 	"github.com/shedhoist/shedhoist/internal/kvstore"
 	"github.com/shedhoist/shedhoist/internal/ledger"
@@ -36,7 +37,6 @@
 	"github.com/shedhoist/shedhoist/internal/target"
 	"github.com/shedhoist/shedhoist/internal/view"
 	"github.com/shedhoist/shedhoist/internal/wait"
-	"github.com/shedhoist/shedhoist/internal/why"
 )
 
 // Daemon is one entry instance.
@@ -56,7 +56,7 @@
 
 	view     view.Holder
 	hints    *cache.Hints
-	whys     *why.Log
+	whys     *explain.Log
 	engines  *target.Client
 	dispatch *dispatch.Dispatcher
 	callers  *caller.Edge
@@ -84,7 +84,7 @@
 // failure leaves nothing open.
 func New(set *settings.Settings, logger log.Interface) (*Daemon, error) {
 	d := &Daemon{set: set, log: logger.WithField("instance", set.Name).WithField("zone", set.Zone), now: time.Now,
-		events: make(chan event, eventBacklog), controlDone: make(chan struct{}), hints: cache.NewHints(cache.DefaultHintKeys), whys: why.NewLog(set.Limits.WhyRecords)}
+		events: make(chan event, eventBacklog), controlDone: make(chan struct{}), hints: cache.NewHints(cache.DefaultHintKeys), whys: explain.NewLog(set.Limits.WhyRecords)}
 	d.ctx, d.stop = context.WithCancel(context.Background())
 	d.store = platform.NewClient(set.Platform.URL, set.Platform.Token, nil)
 	d.repo = &config.Repo{Store: d.store, Now: d.now}
--- a/internal/daemon/follow.go
+++ b/internal/daemon/follow.go
@@ -34,7 +34,7 @@
 			return
 		}
 		failures++
-		metric.PlatformDown.Inc()
+		metric.PlatformErrors.Inc()
 		d.log.WithError(err).WithField("failures", failures).Warn("platform not reached for configuration")
 		delay := min(settings.Duration(d.set.Timing.ConfigPollMS)<<min(failures-1, 4), maxPlatformPause)
 		if !wait.For(ctx, wait.Jitter(delay)) {
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -8,11 +8,11 @@
 
 	"github.com/shedhoist/shedhoist/internal/core/member"
 	"github.com/shedhoist/shedhoist/internal/core/observe"
+	"github.com/shedhoist/shedhoist/internal/explain"
 	"github.com/shedhoist/shedhoist/internal/peer"
 	"github.com/shedhoist/shedhoist/internal/settings"
 	"github.com/shedhoist/shedhoist/internal/version"
 	"github.com/shedhoist/shedhoist/internal/wait"
-	"github.com/shedhoist/shedhoist/internal/why"
 )
 
 // probePeers carries out the probes that are due; it runs on the control goroutine.
@@ -175,7 +175,7 @@
 }
 
 // Explain implements peer.Handler.
-func (d *Daemon) Explain(id string) *why.Record { return d.whys.Get(id) }
+func (d *Daemon) Explain(id string) *explain.Record { return d.whys.Get(id) }
 
 // Status implements peer.Handler.
 func (d *Daemon) Status() peer.Status {
--- a/internal/daemon/probe.go
+++ b/internal/daemon/probe.go
@@ -116,7 +116,7 @@
 			failures = 0
 			d.send(ctx, targetHeard{name: t.Name, report: reportOf(st, rtt)})
 			if version != st.Version && version != "" {
-				d.hints.Drop(t.Name) // other weights: all of its cache is gone
+				d.hints.RemoveTarget(t.Name) // other weights: all of its cache is gone
 			}
 			version = st.Version
 			seq = d.readEvents(ctx, t, seq, st.EventSeq)
@@ -130,7 +130,7 @@
 func (d *Daemon) askTarget(ctx context.Context, t config.Target, period time.Duration) (target.Status, time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, max(4*period, time.Second))
 	defer cancel()
-	metric.ProbeCalls.Inc()
+	metric.TargetProbes.Inc()
 	start := d.now()
 	st, err := d.engines.Status(ctx, t.Address)
 	return st, d.now().Sub(start), err
@@ -145,7 +145,7 @@
 // sequence went down has restarted: all that was believed of it is dropped.
 func (d *Daemon) readEvents(ctx context.Context, t config.Target, seq, at uint64) uint64 {
 	if at < seq {
-		d.hints.Drop(t.Name)
+		d.hints.RemoveTarget(t.Name)
 		seq = 0
 	}
 	if at == seq {
@@ -160,7 +160,7 @@
 		if n, err := hex.Decode(k[:], []byte(e.Key)); err != nil || n != len(k) {
 			continue
 		}
-		d.hints.Event(t.Name, e.Seq, k, e.Removed)
+		d.hints.ApplyEvent(t.Name, e.Seq, k, e.Removed)
 	}
 	return page.Next
 }
--- a/internal/daemon/state.go
+++ b/internal/daemon/state.go
@@ -9,11 +9,11 @@
 
 	"github.com/shedhoist/shedhoist/internal/core/limit"
 	"github.com/shedhoist/shedhoist/internal/core/member"
+	"github.com/shedhoist/shedhoist/internal/explain"
 	"github.com/shedhoist/shedhoist/internal/operator"
 	"github.com/shedhoist/shedhoist/internal/peer"
 	"github.com/shedhoist/shedhoist/internal/version"
 	"github.com/shedhoist/shedhoist/internal/view"
-	"github.com/shedhoist/shedhoist/internal/why"
 )
 
 // View implements operator.State.
@@ -108,11 +108,11 @@
 
 // ExplainAnywhere implements operator.State: the record is sought here, then
 // at every live member, since any instance may have served the request.
-func (d *Daemon) ExplainAnywhere(ctx context.Context, id string) *why.Record {
+func (d *Daemon) ExplainAnywhere(ctx context.Context, id string) *explain.Record {
 	if r := d.whys.Get(id); r != nil {
 		return r
 	}
-	var found *why.Record
+	var found *explain.Record
 	askAll(ctx, d, "Peer.Explain", &peer.Explain{ID: id}, func(_ member.Member, e peer.Explained) {
 		if e.Record != nil {
 			found = e.Record
@@ -149,7 +149,7 @@
 	runtime.ReadMemStats(&mem)
 	v := d.view.Load()
 	out := dump{Instance: d.set.Name, Zone: d.set.Zone, Version: version.String, Time: d.now(), Status: d.Status(), Members: d.Members(ctx),
-		Targets: d.Targets(), Running: d.admit.Running(), HintKeys: d.hints.Keys(), WhyRecords: d.whys.Len(),
+		Targets: d.Targets(), Running: d.admit.Running(), HintKeys: d.hints.KeyCount(), WhyRecords: d.whys.Len(),
 		Goroutines: runtime.NumGoroutine(), HeapBytes: mem.HeapAlloc, Demands: d.admit.Demands()}
 	out.Settings, _ = operator.Redact(d.set, secretMembers...)
 	if v.Config != nil {
--- a/internal/dispatch/claim.go
+++ b/internal/dispatch/claim.go
@@ -8,10 +8,10 @@
 	"github.com/cespare/xxhash/v2"
 
 	"github.com/shedhoist/shedhoist/internal/core/once"
+	"github.com/shedhoist/shedhoist/internal/explain"
 	"github.com/shedhoist/shedhoist/internal/ledger"
 	"github.com/shedhoist/shedhoist/internal/problem"
 	"github.com/shedhoist/shedhoist/internal/target"
-	"github.com/shedhoist/shedhoist/internal/why"
 )
 
 // headerKey is the caller's idempotency key; headerReplayed marks a stored
@@ -86,7 +86,7 @@
 }
 
 // closeReplay closes the books of a request that was not dispatched.
-func (d *Dispatcher) closeReplay(rec *why.Record, err error) {
+func (d *Dispatcher) closeReplay(rec *explain.Record, err error) {
 	p, ok := err.(*problem.Problem)
 	if !ok {
 		d.closeCall(rec, "replayed", problem.Ran)
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -19,6 +19,7 @@
 	"github.com/shedhoist/shedhoist/internal/core/limit"
 	"github.com/shedhoist/shedhoist/internal/core/once"
 	"github.com/shedhoist/shedhoist/internal/core/route"
+	"github.com/shedhoist/shedhoist/internal/explain"
 	"github.com/shedhoist/shedhoist/internal/inflight"
 	"github.com/shedhoist/shedhoist/internal/kvstore"
 	"github.com/shedhoist/shedhoist/internal/metric"
@@ -26,7 +27,6 @@
 	"github.com/shedhoist/shedhoist/internal/target"
 	"github.com/shedhoist/shedhoist/internal/view"
 	"github.com/shedhoist/shedhoist/internal/wait"
-	"github.com/shedhoist/shedhoist/internal/why"
 )
 
 // Dispatcher serves requests on one instance.
@@ -37,7 +37,7 @@
 	Targets  *target.Client
 	Stores   *kvstore.Client
 	Hints    *cache.Hints
-	Why      *why.Log
+	Why      *explain.Log
 	Log      log.Interface
 	Now      func() time.Time
 	Stall    time.Duration // longest silence within a stream
@@ -101,7 +101,7 @@
 	defer d.mu.Unlock()
 	ok := d.budget.Retry()
 	if !ok {
-		metric.BudgetSpent.Inc()
+		metric.RetryBudgetRefusals.Inc()
 	}
 	return ok
 }
--- a/internal/dispatch/hints.go
+++ b/internal/dispatch/hints.go
@@ -7,7 +7,7 @@
 
 // Resident implements route.Hints.
 func (h hints) Resident(target string, keys []prefix.Key) int {
-	return h.d.Hints.Resident(target, keys)
+	return h.d.Hints.ResidentPrefix(target, keys)
 }
 
 // Inflight implements route.Hints.
--- a/internal/dispatch/keep.go
+++ b/internal/dispatch/keep.go
@@ -56,7 +56,7 @@
 // kept is a store's answer about one prompt.
 type kept struct {
 	store *config.Store
-	found kvstore.Found
+	found kvstore.LookupResult
 	ms    float64 // predicted time to bring it to a target
 }
 
@@ -77,7 +77,7 @@
 			}
 			if err != nil {
 				metric.StoreErrors(s.Name).Inc()
-				found = kvstore.Found{}
+				found = kvstore.LookupResult{}
 			}
 			answers <- kept{store: s, found: found, ms: restoreMS(s, found)}
 		}()
@@ -96,7 +96,7 @@
 }
 
 // restoreMS predicts the time on the store's link: its queue, then the bytes.
-func restoreMS(s *config.Store, f kvstore.Found) float64 {
+func restoreMS(s *config.Store, f kvstore.LookupResult) float64 {
 	rate := s.MemoryMBps
 	if f.Tier == kvstore.Disk {
 		rate = s.DiskMBps
@@ -128,10 +128,10 @@
 	select {
 	case d.keeps <- struct{}{}:
 	default:
-		metric.KeepsSkipped.Inc()
+		metric.SavesSkipped.Inc()
 		return
 	}
-	l.rec.Kept = s.Name
+	l.rec.SavedIn = s.Name
 	order := target.Export{Store: s.Address, Version: l.version, Adapter: l.req.Adapter, Salt: l.salt, Keys: l.names}
 	address, name := l.target.Address, l.target.Name
 	d.keepsWG.Add(1)
@@ -155,5 +155,5 @@
 		d.Log.WithField("target", name).WithField("store", store).WithError(err).Warn("keep failed")
 		return
 	}
-	metric.KeptBytes.Add(int(res.Bytes))
+	metric.SavedBytes.Add(int(res.Bytes))
 }
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -8,9 +8,9 @@
 
 	"github.com/shedhoist/shedhoist/internal/core/prefix"
 	"github.com/shedhoist/shedhoist/internal/core/route"
+	"github.com/shedhoist/shedhoist/internal/explain"
 	"github.com/shedhoist/shedhoist/internal/problem"
 	"github.com/shedhoist/shedhoist/internal/target"
-	"github.com/shedhoist/shedhoist/internal/why"
 )
 
 // pin fixes the weight version, and with it the cache keys, of the whole run.
@@ -48,11 +48,11 @@
 }
 
 // place asks for a target and writes down why it is the one.
-func (l *Live) place() (*why.Attempt, target.Extension, bool) {
+func (l *Live) place() (*explain.Attempt, target.Extension, bool) {
 	q := route.Query{Model: l.req.Model.Name, Version: l.version, Adapter: l.req.Adapter, Keys: l.keys, Tokens: l.tokens,
 		Rand: rand.Uint64(), Turn: l.d.turn.Add(1)}
 	dec, k := l.decide(q)
-	att := why.Attempt{StartMS: l.sinceMS(), Filtered: dec.Filtered, Action: dec.Action.String(), PredictedMS: dec.FirstMS,
+	att := explain.Attempt{StartMS: l.sinceMS(), Filtered: dec.Filtered, Action: dec.Action.String(), PredictedMS: dec.FirstMS,
 		Candidates: append([]route.Candidate(nil), dec.Candidates[:dec.N]...)}
 	if dec.Target != nil {
 		l.target, att.Target = dec.Target, dec.Target.Name
@@ -140,7 +140,7 @@
 }
 
 // extension is what the engine must know of this attempt.
-func (l *Live) extension(dec *route.Decision, k kept, att *why.Attempt) target.Extension {
+func (l *Live) extension(dec *route.Decision, k kept, att *explain.Attempt) target.Extension {
 	ext := target.Extension{Version: l.version, Adapter: l.req.Adapter, Priority: l.req.Customer.Priority, Salt: l.salt,
 		Keys: l.names, Resume: l.text.String()}
 	switch {
@@ -189,12 +189,12 @@
 
 // shed refuses, at once and before anything is sent, a request whose first
 // token would come too late. It tells when the queue will have shrunk.
-func (l *Live) shed(att *why.Attempt) error {
+func (l *Live) shed(att *explain.Attempt) error {
 	bound := l.req.Model.FirstTokenMS * (1 - priorityStep*float64(l.req.Customer.Priority))
 	if bound <= 0 || l.retries > 0 || l.sinceMS()+att.PredictedMS <= bound {
 		return nil
 	}
-	att.Ended = "shed"
+	att.Result = "shed"
 	l.ending = true
 	l.close(string(problem.Overloaded), problem.NotRun)
 	late := time.Duration((l.sinceMS() + att.PredictedMS - bound) * float64(time.Millisecond))
--- a/internal/dispatch/rest_send_test.go
+++ b/internal/dispatch/rest_send_test.go
@@ -94,7 +94,7 @@
 				bad := f.targets[0]
 				f.view.Config.Policy.NoStores = false
 				f.view.Config.Bundle.Stores = []config.Store{{Name: "store", Address: "store:1", MemoryMBps: 1000}}
-				f.d.Stores = kvstore.NewClientWith(&http.Client{Transport: slowStores{covered: covered, asked: func() {
+				f.d.Stores = kvstore.NewClientWithHTTP(&http.Client{Transport: slowStores{covered: covered, asked: func() {
 					looked++
 					bad.refuse("3")
 					for range 100 { // until one has met it
--- a/internal/dispatch/rest_test.go
+++ b/internal/dispatch/rest_test.go
@@ -19,10 +19,10 @@
 	"github.com/shedhoist/shedhoist/internal/core/cache"
 	"github.com/shedhoist/shedhoist/internal/core/route"
 	"github.com/shedhoist/shedhoist/internal/dispatch"
+	"github.com/shedhoist/shedhoist/internal/explain"
 	"github.com/shedhoist/shedhoist/internal/problem"
 	"github.com/shedhoist/shedhoist/internal/target"
 	"github.com/shedhoist/shedhoist/internal/view"
-	"github.com/shedhoist/shedhoist/internal/why"
 )
 
 // restingTarget is an engine, and a service, that refuses or serves.
@@ -77,7 +77,7 @@
 	}
 	f.view = &view.View{Config: &view.Config{Bundle: &config.Bundle{}, Policy: config.Policy{MaxAttempts: 4, RetryShare: 1, NoStores: true, Candidates: 2}},
 		Targets: route.NewSnapshot(engines, nil)}
-	f.d = &dispatch.Dispatcher{View: &view.Holder{}, Targets: target.NewClient(time.Second), Hints: cache.NewHints(1), Why: why.NewLog(8), Log: &log.Logger{Handler: discard.Default},
+	f.d = &dispatch.Dispatcher{View: &view.Holder{}, Targets: target.NewClient(time.Second), Hints: cache.NewHints(1), Why: explain.NewLog(8), Log: &log.Logger{Handler: discard.Default},
 		Now: func() time.Time { return f.now }, Stall: time.Minute, Answer: 1 << 20}
 	f.d.View.Store(f.view)
 	f.d.Init(t.Context())
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -12,12 +12,12 @@
 	"github.com/shedhoist/shedhoist/internal/core/attempt"
 	"github.com/shedhoist/shedhoist/internal/core/prefix"
 	"github.com/shedhoist/shedhoist/internal/core/route"
+	"github.com/shedhoist/shedhoist/internal/explain"
 	"github.com/shedhoist/shedhoist/internal/inflight"
 	"github.com/shedhoist/shedhoist/internal/metric"
 	"github.com/shedhoist/shedhoist/internal/problem"
 	"github.com/shedhoist/shedhoist/internal/target"
 	"github.com/shedhoist/shedhoist/internal/view"
-	"github.com/shedhoist/shedhoist/internal/why"
 )
 
 // Request is one model run, admitted.
@@ -58,7 +58,7 @@
 
 	first   *target.Chunk // read ahead by Start
 	text    strings.Builder
-	rec     *why.Record
+	rec     *explain.Record
 	usage   target.Usage
 	tokenMS float64 // when the last token came, ms after arrival
 	ending  bool
@@ -77,10 +77,10 @@
 // problem. The caller must Close the run.
 func (d *Dispatcher) Start(ctx context.Context, req *Request) (*Live, error) {
 	ctx, cancel := context.WithDeadline(ctx, Deadline(req.Model, req.Arrived))
-	l := &Live{d: d, ctx: ctx, cancel: cancel, req: req, view: req.View, tokens: prefix.Tokens(len(req.Canonical)),
+	l := &Live{d: d, ctx: ctx, cancel: cancel, req: req, view: req.View, tokens: prefix.EstimateTokens(len(req.Canonical)),
 		machine: attempt.New(true, true, req.View.Policy.MaxAttempts)}
-	l.rec = &why.Record{ID: req.ID, Instance: d.Instance, Customer: req.Customer.Name, Kind: "model", Name: req.Model.Name,
-		Adapter: req.Adapter, Generation: req.View.Head.Generation, Arrived: req.Arrived, Prompt: l.tokens}
+	l.rec = &explain.Record{ID: req.ID, Instance: d.Instance, Customer: req.Customer.Name, Kind: "model", Name: req.Model.Name,
+		Adapter: req.Adapter, Generation: req.View.Head.Generation, Arrived: req.Arrived, PromptTokens: l.tokens}
 	l.pin()
 	d.earn(req.View.Policy.RetryShare)
 	if err := l.attempt(); err != nil {
@@ -127,20 +127,20 @@
 }
 
 // after takes an attempt's failed end. It returns nil if another attempt follows.
-func (l *Live) after(ev attempt.Event, cause error, att *why.Attempt) error {
+func (l *Live) after(ev attempt.Event, cause error, att *explain.Attempt) error {
 	l.leave()
 	l.d.judgeTarget(att.Target, ev)
 	l.d.giveRest(l.d.ejected, att.Target, l.req.ID, cause)
 	if ev != attempt.Refused {
 		l.failedZone = l.target.Zone
 	}
-	att.Ended = ev.String()
-	metric.TargetEnds(att.Target, ev.String()).Inc()
+	att.Result = ev.String()
+	metric.Attempts(att.Target, ev.String()).Inc()
 	if ev == attempt.Mismatched {
-		metric.Mismatches.Inc()
+		metric.MismatchedResponses.Inc()
 	}
 	v := l.machine.Step(ev, l.d.spend)
-	l.d.Log.WithField("request", l.req.ID).WithField("target", att.Target).WithField("ended", att.Ended).
+	l.d.Log.WithField("request", l.req.ID).WithField("target", att.Target).WithField("ended", att.Result).
 		WithField("next", v.Action.String()).WithError(cause).Debug("attempt ended")
 	if v.Action == attempt.Fail {
 		return l.fail(v, cause)
@@ -267,8 +267,8 @@
 // timeToken measures the time to the first token, and from token to token.
 func (l *Live) timeToken() {
 	at := l.sinceMS()
-	if l.rec.FirstMS == 0 {
-		l.rec.FirstMS = at
+	if l.rec.FirstTokenMS == 0 {
+		l.rec.FirstTokenMS = at
 		metric.FirstToken.Update(at / 1000)
 	} else {
 		metric.BetweenTokens.Update((at - l.tokenMS) / 1000)
@@ -277,25 +277,25 @@
 }
 
 // learn: the target has just computed, restored or reused the whole chain.
-func (l *Live) learn() { l.d.Hints.Learn(l.target.Name, l.keys) }
+func (l *Live) learn() { l.d.Hints.Add(l.target.Name, l.keys) }
 
 func (l *Live) sinceMS() float64 {
 	return float64(l.d.Now().Sub(l.req.Arrived)) / float64(time.Millisecond)
 }
 
 // finish closes the books of a whole answer and decides whether to keep its cache.
-func (l *Live) finish(att *why.Attempt) {
+func (l *Live) finish(att *explain.Attempt) {
 	l.ending = true
 	l.machine.Step(attempt.Done, l.d.spend)
 	l.d.judgeTarget(att.Target, attempt.Done)
-	att.Ended = attempt.Done.String()
-	metric.TargetEnds(att.Target, att.Ended).Inc()
+	att.Result = attempt.Done.String()
+	metric.Attempts(att.Target, att.Result).Inc()
 	u := l.usage
-	l.rec.Cached, l.rec.Restored, l.rec.Generated = u.Details.CachedTokens, u.Details.RestoredTokens, u.CompletionTokens
+	l.rec.CachedTokens, l.rec.RestoredTokens, l.rec.GeneratedTokens = u.Details.CachedTokens, u.Details.RestoredTokens, u.CompletionTokens
 	metric.PromptTokens.Add(u.PromptTokens)
 	metric.CachedTokens.Add(u.Details.CachedTokens)
-	metric.RestoredTok.Add(u.Details.RestoredTokens)
-	metric.GeneratedTok.Add(u.CompletionTokens)
+	metric.RestoredTokens.Add(u.Details.RestoredTokens)
+	metric.GeneratedTokens.Add(u.CompletionTokens)
 	if l.worthKeeping() && l.newToStore(att) {
 		l.d.keep(l)
 	}
@@ -309,7 +309,7 @@
 
 // newToStore says whether the store may lack part of the chain: something was
 // computed rather than restored.
-func (l *Live) newToStore(att *why.Attempt) bool {
+func (l *Live) newToStore(att *explain.Attempt) bool {
 	return l.usage.PromptTokens-l.usage.Details.CachedTokens >= prefix.ChunkBytes/prefix.BytesPerToken || att.Action == route.Recompute.String()
 }
 
@@ -325,7 +325,7 @@
 	l.leave()
 	l.ending = true
 	att := &l.rec.Attempts[len(l.rec.Attempts)-1]
-	att.Ended = "rejected"
+	att.Result = "rejected"
 	p := problem.New(problem.BadRequest, "the engine rejected the request with status "+http.StatusText(r.Status))
 	p.RequestID = l.req.ID
 	l.close(string(p.Kind), p.Execution)
@@ -341,7 +341,7 @@
 	l.d.Why.Add(l.rec)
 	l.d.Log.WithField("request", l.rec.ID).WithField("customer", l.rec.Customer).WithField("model", l.rec.Name).
 		WithField("target", l.rec.LastTarget()).WithField("decision", l.rec.LastAction()).WithField("attempts", len(l.rec.Attempts)).
-		WithField("outcome", outcome).WithField("execution", string(ex)).WithField("first_ms", l.rec.FirstMS).
+		WithField("outcome", outcome).WithField("execution", string(ex)).WithField("first_ms", l.rec.FirstTokenMS).
 		WithField("total_ms", l.rec.TotalMS).Info("request")
 }
 
@@ -349,7 +349,7 @@
 func (l *Live) Usage() target.Usage { return l.usage }
 
 // Record is the run's why-record.
-func (l *Live) Record() *why.Record { return l.rec }
+func (l *Live) Record() *explain.Record { return l.rec }
 
 // Close ends the run. One that is not whole is cancelled at its target.
 func (l *Live) Close() {
@@ -358,7 +358,7 @@
 		l.ending = true
 		l.machine.Step(attempt.CallerGone, l.d.spend)
 		if n := len(l.rec.Attempts); n > 0 {
-			l.rec.Attempts[n-1].Ended = attempt.CallerGone.String()
+			l.rec.Attempts[n-1].Result = attempt.CallerGone.String()
 		}
 		l.close(string(problem.CallerGone), problem.MayHaveRun)
 	}
--- a/internal/dispatch/service.go
+++ b/internal/dispatch/service.go
@@ -9,11 +9,11 @@
 
 	"github.com/shedhoist/shedhoist/internal/config"
 	"github.com/shedhoist/shedhoist/internal/core/attempt"
+	"github.com/shedhoist/shedhoist/internal/explain"
 	"github.com/shedhoist/shedhoist/internal/metric"
 	"github.com/shedhoist/shedhoist/internal/problem"
 	"github.com/shedhoist/shedhoist/internal/target"
 	"github.com/shedhoist/shedhoist/internal/view"
-	"github.com/shedhoist/shedhoist/internal/why"
 )
 
 // ServiceRequest is one request to a plain service, admitted.
@@ -68,7 +68,7 @@
 	ctx, cancel := context.WithTimeout(ctx, Timeout(req.Service))
 	defer cancel()
 	idempotent := Idempotent(req.Service, req.Method, req.Path)
-	rec := &why.Record{ID: req.ID, Instance: d.Instance, Customer: req.Customer.Name, Kind: "service", Name: req.Service.Name,
+	rec := &explain.Record{ID: req.ID, Instance: d.Instance, Customer: req.Customer.Name, Kind: "service", Name: req.Service.Name,
 		Generation: req.View.Head.Generation, Arrived: req.Arrived}
 	claim, replay, err := d.claim(ctx, req, idempotent)
 	if replay != nil || err != nil {
@@ -92,14 +92,14 @@
 
 // tryInstances goes through the service's instances, nearest first, until the
 // machine ends the request. Those that ask for rest are passed over.
-func (d *Dispatcher) tryInstances(ctx context.Context, req *ServiceRequest, m *attempt.Request, rec *why.Record, idempotent bool) (*target.Answer, attempt.Verdict, error) {
+func (d *Dispatcher) tryInstances(ctx context.Context, req *ServiceRequest, m *attempt.Request, rec *explain.Record, idempotent bool) (*target.Answer, attempt.Verdict, error) {
 	var cause error
 	retries, asking := 0, false
 	for _, inst := range d.order(req) {
 		if !d.callees.Asks(inst.Name) {
 			backoff(ctx, retries)
 		}
-		att := why.Attempt{Target: inst.Name, StartMS: d.sinceMS(req.Arrived)}
+		att := explain.Attempt{Target: inst.Name, StartMS: d.sinceMS(req.Arrived)}
 		if d.callees.Asks(inst.Name) { // perhaps since the wait only
 			asking = true
 			continue
@@ -113,15 +113,15 @@
 			d.giveRest(d.callees, inst.Name, req.ID, err)
 		}
 		verdict := m.Step(ev, d.spend)
-		att.Ended = ev.String()
+		att.Result = ev.String()
 		if verdict.Action == attempt.Retry {
 			att.Next = verdict.Action.String()
 			metric.Retries.Inc()
 		}
 		if ev == attempt.Mismatched {
-			metric.Mismatches.Inc()
+			metric.MismatchedResponses.Inc()
 		}
-		metric.TargetEnds(inst.Name, att.Ended).Inc()
+		metric.Attempts(inst.Name, att.Result).Inc()
 		rec.Attempts = append(rec.Attempts, att)
 		if verdict.Action != attempt.Retry {
 			return answer, verdict, cause
@@ -152,7 +152,7 @@
 	return float64(d.Now().Sub(t)) / float64(time.Millisecond)
 }
 
-func (d *Dispatcher) closeCall(rec *why.Record, outcome string, ex problem.Execution) {
+func (d *Dispatcher) closeCall(rec *explain.Record, outcome string, ex problem.Execution) {
 	rec.Outcome, rec.Execution, rec.TotalMS = outcome, ex, d.sinceMS(rec.Arrived)
 	metric.Requests("service", outcome).Inc()
 	d.Why.Add(rec)
--- a/internal/why/why.go
+++ b/internal/explain/explain.go
@@ -1,7 +1,7 @@
 // Package why keeps the reasons behind each recent request: which targets were
 // considered at what cost, what was chosen, each attempt and its end. Records
 // hold no prompt, no answer, no key and no secret.
-package why
+package explain
 
 import (
 	"sync"
@@ -13,25 +13,25 @@
 
 // Record is the why-record of one request.
 type Record struct {
-	ID         string            `json:"id"`
-	Instance   string            `json:"instance"` // the entry instance that served it
-	Customer   string            `json:"customer"`
-	Kind       string            `json:"kind"` // "model" or "service"
-	Name       string            `json:"name"` // model or service
-	Version    string            `json:"weight_version,omitempty"`
-	Adapter    string            `json:"adapter,omitempty"`
-	Generation uint64            `json:"generation"`
-	Arrived    time.Time         `json:"arrived"`
-	Prompt     int               `json:"prompt_tokens"`
-	Cached     int               `json:"cached_tokens"`
-	Restored   int               `json:"restored_tokens"`
-	Generated  int               `json:"generated_tokens"`
-	FirstMS    float64           `json:"first_token_ms"`
-	TotalMS    float64           `json:"total_ms"`
-	Attempts   []Attempt         `json:"attempts"`
-	Outcome    string            `json:"outcome"` // "done" or a problem kind
-	Execution  problem.Execution `json:"execution"`
-	Kept       string            `json:"kept_in,omitempty"` // store that was asked to keep the prefix
+	ID              string            `json:"id"`
+	Instance        string            `json:"instance"` // the entry instance that served it
+	Customer        string            `json:"customer"`
+	Kind            string            `json:"kind"` // "model" or "service"
+	Name            string            `json:"name"` // model or service
+	Version         string            `json:"weight_version,omitempty"`
+	Adapter         string            `json:"adapter,omitempty"`
+	Generation      uint64            `json:"generation"`
+	Arrived         time.Time         `json:"arrived"`
+	PromptTokens    int               `json:"prompt_tokens"`
+	CachedTokens    int               `json:"cached_tokens"`
+	RestoredTokens  int               `json:"restored_tokens"`
+	GeneratedTokens int               `json:"generated_tokens"`
+	FirstTokenMS    float64           `json:"first_token_ms"`
+	TotalMS         float64           `json:"total_ms"`
+	Attempts        []Attempt         `json:"attempts"`
+	Outcome         string            `json:"outcome"` // "done" or a problem kind
+	Execution       problem.Execution `json:"execution"`
+	SavedIn         string            `json:"kept_in,omitempty"` // store that was asked to keep the prefix
 }
 
 // Attempt is one attempt and why it went where it went.
@@ -43,7 +43,7 @@
 	Candidates  []route.Candidate `json:"candidates"`
 	Filtered    route.Filtered    `json:"filtered"`
 	StartMS     float64           `json:"start_ms"` // after arrival
-	Ended       string            `json:"ended"`
+	Result      string            `json:"ended"`
 	Next        string            `json:"next,omitempty"` // retry, resume
 }
 
--- a/internal/gateway/ages.go
+++ b/internal/gateway/ages.go
@@ -132,7 +132,7 @@
 	}
 	age, _ := f.age()
 	g.log.WithField("kind", f.kind).WithField("age_ms", age.Milliseconds()).WithField("rank", g.view.Load().WatchRank).Info("news in doubt, asking the object store")
-	metric.NewsDoubted.Inc()
+	metric.UpdatesBypassed.Inc()
 	g.send(firstHand{})
 	for _, due := range f.doubtedToo {
 		due.Raise()
--- a/internal/gateway/budgets.go
+++ b/internal/gateway/budgets.go
@@ -52,7 +52,7 @@
 	defer b.mu.Unlock()
 	ok := b.of(service).Retry()
 	if !ok {
-		metric.BudgetSpent.Inc()
+		metric.RetryBudgetRefusals.Inc()
 	}
 	return ok
 }
--- a/internal/gateway/cache.go
+++ b/internal/gateway/cache.go
@@ -10,7 +10,7 @@
 	"github.com/apex/log"
 
 	"github.com/shedhoist/shedhoist/internal/catalog"
-	"github.com/shedhoist/shedhoist/internal/core/stock"
+	"github.com/shedhoist/shedhoist/internal/core/cachestore"
 	"github.com/shedhoist/shedhoist/internal/loads"
 	"github.com/shedhoist/shedhoist/internal/metric"
 	"github.com/shedhoist/shedhoist/internal/wait"
@@ -46,7 +46,7 @@
 
 // bounds keep saves and fetches apart, see stock.Bounds. They are the same for all
 // instances, whichever way they hear of the stores.
-var bounds = stock.Bounds{
+var bounds = cachestore.Bounds{
 	SaveAge:   500 * time.Millisecond, // two polls and a step of the tree, where nothing is slow
 	SaveTime:  300 * time.Millisecond,
 	FetchAge:  inventoryAge + relayAge,
@@ -61,15 +61,15 @@
 
 	mu          sync.Mutex
 	inventories map[string]*inventory // by address
-	journal     stock.Journal
-	saving      map[stock.Key]time.Time
-	saves       stock.Saves
+	journal     cachestore.Journal
+	saving      map[cachestore.Key]time.Time
+	saves       cachestore.PendingSaves
 	clock       float64   // servers' clock, ms, at clockAt
 	clockAt     time.Time // zero: not known
 }
 
 type inventory struct {
-	stock.Inventory
+	cachestore.Inventory
 	cancel context.CancelFunc // ends the polls; nil: told by other instances
 	listed time.Time
 }
@@ -84,7 +84,7 @@
 }
 
 func newCacheDirectory(g *Gateway) *cacheDirectory {
-	return &cacheDirectory{g: g, process: rand.Uint64(), inventories: map[string]*inventory{}, saving: map[stock.Key]time.Time{}}
+	return &cacheDirectory{g: g, process: rand.Uint64(), inventories: map[string]*inventory{}, saving: map[cachestore.Key]time.Time{}}
 }
 
 // run keeps the inventories of the stores that the configuration names, until ctx ends.
@@ -143,12 +143,12 @@
 }
 
 // listed takes all that a store holds; c.mu is held.
-func (c *cacheDirectory) listed(sh *inventory, address string, w stock.Answer, held []stock.Held) {
-	changes, anew := sh.List(w, held)
+func (c *cacheDirectory) listed(sh *inventory, address string, w cachestore.Response, held []cachestore.StoredPart) {
+	changes, anew := sh.Replace(w, held)
 	if anew {
-		c.journal.Renew(address)
+		c.journal.MarkRelisted(address)
 	}
-	c.journal.Add(address, changes)
+	c.journal.Append(address, changes)
 }
 
 // poll keeps one store's inventory up to date.
@@ -169,7 +169,7 @@
 			continue
 		}
 		c.mu.Lock()
-		sh.Forget()
+		sh.Invalidate()
 		c.mu.Unlock()
 		if failures++; failures == 1 {
 			entry.WithError(err).Warn("cache store lost")
@@ -206,7 +206,7 @@
 	now := c.g.now()
 	told := sh.Apply(answerOfStore(p.Epoch, p.Next, polledAt(asked, now, len(p.Events)), now), p.Gap, p.Events)
 	if _, _, known = sh.Position(); known {
-		c.journal.Add(address, p.Events)
+		c.journal.Append(address, p.Events)
 	}
 	if !told {
 		entry.WithField("epoch", p.Epoch).WithField("gap", p.Gap).WithField("unreadable", p.Unreadable).Info("cache store started again, or events are lost: listing anew")
@@ -224,8 +224,8 @@
 }
 
 // answerOfStore is an answer of a store itself.
-func answerOfStore(epoch, next uint64, asOf, heard time.Time) stock.Answer {
-	return stock.Answer{Epoch: epoch, Next: next, AsOf: asOf, Whole: asOf, Heard: heard}
+func answerOfStore(epoch, next uint64, asOf, heard time.Time) cachestore.Response {
+	return cachestore.Response{Epoch: epoch, NextEvent: next, AsOf: asOf, CompleteAsOf: asOf, Received: heard}
 }
 
 // list asks a store for all that it holds.
@@ -242,10 +242,10 @@
 	}
 	now := c.g.now()
 	for i := range l.Held {
-		l.Held[i].At = now.Add(listLead)
+		l.Held[i].CompletedAt = now.Add(listLead)
 	}
 	c.listed(sh, address, answerOfStore(l.Epoch, l.Next, asked, now), l.Held)
-	sh.Broken(l.Partial, asked)
+	sh.SetIncomplete(l.Partial, asked)
 	sh.listed = asked
 	c.setClock(l.ClockMS)
 	entry.WithField("epoch", l.Epoch).WithField("parts", len(l.Held)).WithField("partial", len(l.Partial)).WithField("tokens", sh.Used()).WithField("unreadable", l.Unreadable).Info("cache store listed")
@@ -281,7 +281,7 @@
 	now := c.g.now()
 	late := c.late(now)
 	for i, p := range parts[:max(len(parts)-1, 0)] {
-		key := stock.Key{Salt: salt, Part: p.ID}
+		key := cachestore.Key{Salt: salt, Part: p.ID}
 		switch src := c.find(stores, key, now); {
 		case src.tokens >= p.Tokens && !c.isLate(key, late, now):
 			out[i] = src
@@ -295,7 +295,7 @@
 }
 
 // isLate says whether a save of a part is late: this instance's own, or another's.
-func (c *cacheDirectory) isLate(k stock.Key, own []loads.Key, now time.Time) bool {
+func (c *cacheDirectory) isLate(k cachestore.Key, own []loads.Key, now time.Time) bool {
 	key := partKey(k)
 	return slices.Contains(own, key) || c.g.lateSaves.Has(key, now)
 }
@@ -316,7 +316,7 @@
 	keep = keep && len(c.late(now)) < loads.MostLateSaves
 	out.parts = make([]PartPlan, len(parts))
 	for i, p := range parts[:len(parts)-1] {
-		key := stock.Key{Salt: salt, Part: p.ID}
+		key := cachestore.Key{Salt: salt, Part: p.ID}
 		if from[i].store != nil {
 			// Time may have passed since the parts were looked for: this process may have stood still.
 			if src := c.find(stores, key, now); fetch[i] && src.tokens >= p.Tokens {
@@ -328,7 +328,7 @@
 		if !keep {
 			continue
 		}
-		if to := c.home(stores, key, p.Tokens, i == 0 && c.g.settings().Policy.HeadsApart, zone, now); to != "" {
+		if to := c.home(stores, key, p.Tokens, i == 0 && c.g.settings().Policy.HeadsInFastStores, zone, now); to != "" {
 			out.parts[i].SaveTo = to
 			c.saving[key] = now
 			out.saved = append(out.saved, key)
@@ -338,7 +338,7 @@
 }
 
 // find returns the store that holds most of a part; c.mu is held.
-func (c *cacheDirectory) find(stores []catalog.CacheStore, key stock.Key, now time.Time) partSource {
+func (c *cacheDirectory) find(stores []catalog.CacheStore, key cachestore.Key, now time.Time) partSource {
 	var out partSource
 	for i := range stores {
 		sh := c.inventories[stores[i].Address]
@@ -354,7 +354,7 @@
 
 // held says whether a store is known to hold a part, though it may not be fetched yet; c.mu
 // is held.
-func (c *cacheDirectory) held(stores []catalog.CacheStore, key stock.Key, now time.Time) bool {
+func (c *cacheDirectory) held(stores []catalog.CacheStore, key cachestore.Key, now time.Time) bool {
 	for _, s := range stores {
 		if sh := c.inventories[s.Address]; sh != nil && sh.Tokens(key, now, sh.ageLimit()) > 0 {
 			return true
@@ -364,7 +364,7 @@
 }
 
 // home returns the address of the store to keep a part in; "" if none is to.
-func (c *cacheDirectory) home(stores []catalog.CacheStore, key stock.Key, tokens int, head bool, zone string, now time.Time) string {
+func (c *cacheDirectory) home(stores []catalog.CacheStore, key cachestore.Key, tokens int, head bool, zone string, now time.Time) string {
 	if tokens < leastKept {
 		return ""
 	}
@@ -374,14 +374,14 @@
 	if c.held(stores, key, now) {
 		return ""
 	}
-	near := c.g.settings().Policy.StoreZones
-	var places []stock.Place
+	near := c.g.settings().Policy.StoreZoneHomes
+	var places []cachestore.Candidate
 	for _, s := range stores {
 		if sh := c.inventories[s.Address]; sh != nil && sh.Savable(key, now, bounds) {
-			places = append(places, stock.Place{Address: s.Address, Capacity: s.Capacity, Used: sh.Used(), FirstByte: s.FirstByte, Near: near && s.Zone == zone})
+			places = append(places, cachestore.Candidate{Address: s.Address, Capacity: s.Capacity, Used: sh.Used(), FirstByteDelay: s.FirstByte, SameZone: near && s.Zone == zone})
 		}
 	}
-	if i := stock.Home(key, tokens, head, places); i >= 0 {
+	if i := cachestore.Home(key, tokens, head, places); i >= 0 {
 		return places[i].Address
 	}
 	return ""
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -63,7 +63,7 @@
 	}
 	shared := p.Parts[:len(p.Parts)-1]
 	q.Subject = shared[len(shared)-1].ID
-	if src := x.sourcesOf(max(x.view.Named[p.Model].Version, 1))[len(shared)-1]; src.store != nil && set.Policy.StoreZones {
+	if src := x.sourcesOf(max(x.view.Named[p.Model].Version, 1))[len(shared)-1]; src.store != nil && set.Policy.StoreZoneHomes {
 		q.KeptIn = src.store.Zone
 	}
 	tokens := 0
@@ -150,7 +150,7 @@
 		}
 		works[i].AheadTokens = int(load.Tokens.Load()) + others[i].Tokens
 		o.FirstMS = x.g.predictor.Nominal(works[i].Work)
-		if set.Policy.Overdue {
+		if set.Policy.LearnedLatency {
 			o.FirstMS = x.g.predictor.First(t.ID, works[i].Work, now)
 		}
 		o.LinkMS = works[i].FetchMS
@@ -204,7 +204,7 @@
 	case d.AskRest > 0:
 		x.refuseResting()
 	case d.Closed > 0:
-		metric.ColdRefusals.Inc()
+		metric.WarmupRefusals.Inc()
 		x.refuse(later(problem.Overloaded, "the targets are cold and bear no more now", comeBackCold/2+rand.N(comeBackCold)))
 	default:
 		x.failAfter(v, ending{})
@@ -219,7 +219,7 @@
 // it ask for rest. Its caller is told to come back when the first rest ends, or up to half as
 // late again, so that callers do not return together, and none returns in vain.
 func (x *exchange) refuseResting() {
-	metric.RestRefusals.Inc()
+	metric.BackoffRefusals.Inc()
 	wait := min(max(x.restLeft(), comeBackSoon), longestComeBack)
 	x.refuse(later(problem.Overloaded, "the targets have asked for rest", wait+rand.N(wait/2)))
 }
@@ -249,6 +249,6 @@
 func (x *exchange) refuseFull(d place.Decision) {
 	x.machine.NoTarget()
 	x.decision = d
-	metric.FullRefusals.Inc()
+	metric.MemoryFullRefusals.Inc()
 	x.refuse(later(problem.Overloaded, "the targets' memory is full", comeBackFull/2+rand.N(comeBackFull)))
 }
--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -77,7 +77,7 @@
 	if svc == nil || svc.ColdRate <= 0 {
 		return 0, false
 	}
-	if !set.Policy.ColdSenders || now.Before(x.view.SettledAt) {
+	if !set.Policy.WarmupSenders || now.Before(x.view.SettledAt) {
 		return 0, true
 	}
 	return x.view.coldChoice.quota(t.Name, x.coldLimit(t)), true
@@ -109,7 +109,7 @@
 	}
 	x.entered = x.g.cold.Take(t.ID, quota, now)
 	if x.entered {
-		metric.ColdRequests.Inc()
+		metric.WarmupRequests.Inc()
 	}
 	return x.entered
 }
--- a/internal/gateway/collector.go
+++ b/internal/gateway/collector.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/shedhoist/shedhoist/internal/catalog"
-	"github.com/shedhoist/shedhoist/internal/core/stock"
+	"github.com/shedhoist/shedhoist/internal/core/cachestore"
 	"github.com/shedhoist/shedhoist/internal/registry"
 	"github.com/shedhoist/shedhoist/internal/wait"
 )
@@ -110,10 +110,10 @@
 func (c *cacheDirectory) free(ctx context.Context, address string, oldest map[string]uint64) {
 	c.mu.Lock()
 	sh := c.inventories[address]
-	var parts []stock.Key
+	var parts []cachestore.Key
 	var epoch uint64
 	if sh != nil && sh.Known(c.g.now(), sh.ageLimit()) {
-		parts = append(sh.Older(oldest, freeBatch), sh.Stuck(brokenTime)...)
+		parts = append(sh.Outdated(oldest, freeBatch), sh.Stalled(brokenTime)...)
 		epoch, _, _ = sh.Position()
 	}
 	c.mu.Unlock()
@@ -129,16 +129,16 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if now, _, _ := sh.Position(); now == epoch {
-		sh.Drop(parts, c.g.now()) // its events tell the same a moment later
-		c.journal.Add(address, removals(parts))
+		sh.Remove(parts, c.g.now()) // its events tell the same a moment later
+		c.journal.Append(address, removals(parts))
 	}
 }
 
 // removals are the changes that say that parts are no longer held.
-func removals(parts []stock.Key) []stock.Event {
-	out := make([]stock.Event, len(parts))
+func removals(parts []cachestore.Key) []cachestore.Event {
+	out := make([]cachestore.Event, len(parts))
 	for i, k := range parts {
-		out[i] = stock.Event{Key: k}
+		out[i] = cachestore.Event{Key: k}
 	}
 	return out
 }
--- a/internal/gateway/configuration.go
+++ b/internal/gateway/configuration.go
@@ -139,14 +139,14 @@
 func (g *Gateway) configFromStore(ctx context.Context, word ConfigWord) {
 	kind, _, _ := g.codec.Kinds()
 	asked := g.now()
-	s, err := g.store.All(ctx, kind)
+	s, err := g.store.List(ctx, kind)
 	if ctx.Err() != nil {
 		return
 	}
 	g.contact(kind, err)
 	entry := g.log.WithField("heard_of", word.Version).WithField("bytes", word.Bytes).WithField("took_ms", g.now().Sub(asked).Milliseconds())
 	if err != nil {
-		metric.PlatformDown.Inc()
+		metric.PlatformErrors.Inc()
 		entry.WithError(err).Warn("configuration not read from the object store")
 		return
 	}
@@ -201,7 +201,7 @@
 	for ctx.Err() == nil {
 		piece, err := g.askPiece(ctx, holder.Address, part)
 		if err != nil {
-			metric.NewsFailed.Inc()
+			metric.UpdatesFailed.Inc()
 			entry.WithError(err).WithField("had_bytes", len(part.raw)).Warn("configuration not had from a peer")
 			return
 		}
--- a/internal/gateway/darkzone.go
+++ b/internal/gateway/darkzone.go
@@ -101,7 +101,7 @@
 	if !d.zones.Looked(zone, some) {
 		return
 	}
-	metric.DarkZones.Inc()
+	metric.UnreachableZones.Inc()
 	left := d.leaveAll(zone)
 	d.g.log.WithField("zone", zone).WithField("looked_at", len(targets)).WithField("told_by", from).WithField("attempts_left", left).Warn("zone is silent")
 	if from == "" {
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
+	"github.com/shedhoist/shedhoist/internal/core/cachestore"
 	"github.com/shedhoist/shedhoist/internal/core/fresh"
-	"github.com/shedhoist/shedhoist/internal/core/stock"
 	"github.com/shedhoist/shedhoist/internal/wait"
 )
 
@@ -110,7 +110,7 @@
 			continue
 		}
 		events, whole := c.journal.Since(address, ask.Seq)
-		n := StoreNews{Address: address, Epoch: epoch, AgeMS: now.Sub(sh.AsOf()).Milliseconds() + 1, BehindMS: sh.AsOf().Sub(sh.Whole()).Milliseconds(),
+		n := StoreNews{Address: address, Epoch: epoch, AgeMS: now.Sub(sh.AsOf()).Milliseconds() + 1, BehindMS: sh.AsOf().Sub(sh.CompleteAsOf()).Milliseconds(),
 			Whole: whole || ask.Process != c.process || !slices.Contains(ask.Stores, address)}
 		if n.Whole {
 			held := sh.All()
@@ -121,11 +121,11 @@
 			listed += len(held)
 			events = events[:0]
 			for _, h := range held {
-				events = append(events, stock.Event{Key: h.Key, Added: true, Tokens: h.Tokens})
+				events = append(events, cachestore.Event{Key: h.Key, Added: true, Tokens: h.Tokens})
 			}
 		}
 		for i := range events {
-			events[i].At = sh.CompleteBy(events[i].Key)
+			events[i].CompletedAt = sh.CompletedAt(events[i].Key)
 		}
 		n.pack(events, now)
 		out.Stores = append(out.Stores, n)
@@ -134,7 +134,7 @@
 }
 
 // pack writes events with each salt once.
-func (n *StoreNews) pack(events []stock.Event, now time.Time) {
+func (n *StoreNews) pack(events []cachestore.Event, now time.Time) {
 	index := map[string]int{}
 	for _, e := range events {
 		i, ok := index[e.Salt]
@@ -148,7 +148,7 @@
 			p.Tokens = e.Tokens
 		}
 		n.Parts = append(n.Parts, p)
-		n.Ages = append(n.Ages, ageOf(e.At, now))
+		n.Ages = append(n.Ages, ageOf(e.CompletedAt, now))
 	}
 }
 
@@ -166,15 +166,15 @@
 }
 
 // events reads what pack wrote, heard at a time; parts that name no salt are left out.
-func (n *StoreNews) events(heard time.Time) []stock.Event {
-	out := make([]stock.Event, 0, len(n.Parts))
+func (n *StoreNews) events(heard time.Time) []cachestore.Event {
+	out := make([]cachestore.Event, 0, len(n.Parts))
 	for i, p := range n.Parts {
 		if p.Salt < 0 || p.Salt >= len(n.Salts) {
 			continue
 		}
-		e := stock.Event{Key: stock.Key{Salt: n.Salts[p.Salt], Part: p.Part}, Added: p.Tokens >= 0, Tokens: max(p.Tokens, 0)}
+		e := cachestore.Event{Key: cachestore.Key{Salt: n.Salts[p.Salt], Part: p.Part}, Added: p.Tokens >= 0, Tokens: max(p.Tokens, 0)}
 		if i < len(n.Ages) {
-			e.At = completeBy(n.Ages[i], heard)
+			e.CompletedAt = completeBy(n.Ages[i], heard)
 		}
 		out = append(out, e)
 	}
@@ -262,17 +262,17 @@
 	now := c.g.now()
 	events := n.events(now)
 	asOf := started.Add(-time.Duration(n.AgeMS) * time.Millisecond)
-	w := stock.Answer{Epoch: n.Epoch, AsOf: asOf, Whole: asOf.Add(-time.Duration(n.BehindMS) * time.Millisecond), Heard: now}
+	w := cachestore.Response{Epoch: n.Epoch, AsOf: asOf, CompleteAsOf: asOf.Add(-time.Duration(n.BehindMS) * time.Millisecond), Received: now}
 	if !n.Whole {
 		ok := sh.Apply(w, false, events)
 		if ok {
-			c.journal.Add(n.Address, events)
+			c.journal.Append(n.Address, events)
 		}
 		return ok
 	}
-	held := make([]stock.Held, len(events))
+	held := make([]cachestore.StoredPart, len(events))
 	for i, e := range events {
-		held[i] = stock.Held{Key: e.Key, Tokens: e.Tokens, At: e.At}
+		held[i] = cachestore.StoredPart{Key: e.Key, Tokens: e.Tokens, CompletedAt: e.CompletedAt}
 	}
 	c.listed(sh, n.Address, w, held)
 	c.g.log.WithField("address", n.Address).WithField("epoch", n.Epoch).WithField("parts", len(held)).WithField("age_ms", n.AgeMS).
--- a/internal/gateway/directory_test.go
+++ b/internal/gateway/directory_test.go
@@ -10,8 +10,8 @@
 	"github.com/apex/log/handlers/discard"
 	"github.com/matryer/is"
 
+	"github.com/shedhoist/shedhoist/internal/core/cachestore"
 	"github.com/shedhoist/shedhoist/internal/core/member"
-	"github.com/shedhoist/shedhoist/internal/core/stock"
 )
 
 func fleetOf(n, zones int) []member.Member {
@@ -73,15 +73,15 @@
 // is left out.
 func TestStoreNews(t *testing.T) {
 	is := is.New(t)
-	in := []stock.Event{
-		{Key: stock.Key{Salt: "s1", Part: "a"}, Added: true, Tokens: 100},
-		{Key: stock.Key{Salt: "s2", Part: "a"}},
-		{Key: stock.Key{Salt: "s1", Part: "b"}, Added: true},
+	in := []cachestore.Event{
+		{Key: cachestore.Key{Salt: "s1", Part: "a"}, Added: true, Tokens: 100},
+		{Key: cachestore.Key{Salt: "s2", Part: "a"}},
+		{Key: cachestore.Key{Salt: "s1", Part: "b"}, Added: true},
 	}
 	var n StoreNews
 	n.pack(in, at0)
 	for i := range in {
-		in[i].At = at0.Add(listLead) // what is told of no moment counts as of now, at its latest
+		in[i].CompletedAt = at0.Add(listLead) // what is told of no moment counts as of now, at its latest
 	}
 	is.Equal(n.events(at0), in)
 	is.Equal(len(n.Salts), 2)
@@ -104,9 +104,9 @@
 	for s := range stores {
 		address := fmt.Sprintf("10.0.1.%d:1", s)
 		teller.inventories[address], asker.inventories[address] = &inventory{}, &inventory{}
-		held := make([]stock.Held, parts)
+		held := make([]cachestore.StoredPart, parts)
 		for i := range held {
-			held[i] = stock.Held{Key: stock.Key{Salt: "s", Part: fmt.Sprint(i)}, Tokens: 100}
+			held[i] = cachestore.StoredPart{Key: cachestore.Key{Salt: "s", Part: fmt.Sprint(i)}, Tokens: 100}
 		}
 		teller.listed(teller.inventories[address], address, answerOfStore(1, 1, now, now), held)
 	}
@@ -127,9 +127,9 @@
 			break
 		}
 		for address, sh := range teller.inventories {
-			e := []stock.Event{{Key: stock.Key{Salt: "s", Part: fmt.Sprintf("new-%d", look)}, Added: true, Tokens: 50}}
+			e := []cachestore.Event{{Key: cachestore.Key{Salt: "s", Part: fmt.Sprintf("new-%d", look)}, Added: true, Tokens: 50}}
 			is.True(sh.Apply(answerOfStore(1, uint64(look+2), now, now), false, e))
-			teller.journal.Add(address, e)
+			teller.journal.Append(address, e)
 		}
 	}
 	is.True(asker.take(teller.tell(ask), now) != nil)
@@ -147,8 +147,8 @@
 	for _, age := range []time.Duration{-listLead, 0, 7 * time.Millisecond, time.Second, time.Hour} {
 		at := at0.Add(-age)
 		var n StoreNews
-		n.pack([]stock.Event{{Key: stock.Key{Salt: "s", Part: "a"}, Added: true, Tokens: 100, At: at}}, at0)
-		told := n.events(at0.Add(way))[0].At
+		n.pack([]cachestore.Event{{Key: cachestore.Key{Salt: "s", Part: "a"}, Added: true, Tokens: 100, CompletedAt: at}}, at0)
+		told := n.events(at0.Add(way))[0].CompletedAt
 		is.True(!told.Before(at))
 		is.True(told.Sub(at) < way+ageStep || at0.Sub(told) > bounds.FetchDelay())
 	}
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -230,7 +230,7 @@
 type memoryStore struct {
 	mu       sync.Mutex
 	revision platform.Version
-	objects  map[string]map[string]platform.Named
+	objects  map[string]map[string]platform.NamedObject
 	history  []memoryChange
 	lost     platform.Version // history up to this revision is gone
 	wake     chan struct{}    // closed at the next change
@@ -238,12 +238,12 @@
 
 type memoryChange struct {
 	kind string
-	platform.Named
+	platform.NamedObject
 	deleted bool
 }
 
 func newMemoryStore() *memoryStore {
-	return &memoryStore{objects: map[string]map[string]platform.Named{}, wake: make(chan struct{})}
+	return &memoryStore{objects: map[string]map[string]platform.NamedObject{}, wake: make(chan struct{})}
 }
 
 // set writes an object, as operators and targets do.
@@ -259,12 +259,12 @@
 
 func (s *memoryStore) write(kind, name string, value []byte) platform.Version {
 	s.revision++
-	o := platform.Named{Name: name, Version: s.revision, Value: value}
+	o := platform.NamedObject{Name: name, Version: s.revision, Value: value}
 	if s.objects[kind] == nil {
-		s.objects[kind] = map[string]platform.Named{}
+		s.objects[kind] = map[string]platform.NamedObject{}
 	}
 	s.objects[kind][name] = o
-	s.tell(memoryChange{kind: kind, Named: o})
+	s.tell(memoryChange{kind: kind, NamedObject: o})
 	return s.revision
 }
 
@@ -283,7 +283,7 @@
 	o := s.objects[kind][name]
 	o.Version = s.revision
 	delete(s.objects[kind], name)
-	s.tell(memoryChange{kind: kind, Named: o, deleted: true})
+	s.tell(memoryChange{kind: kind, NamedObject: o, deleted: true})
 }
 
 // forget drops the history so far.
@@ -342,8 +342,8 @@
 	return nil
 }
 
-// All implements platform.Kinds.
-func (d *storeDoor) All(ctx context.Context, kind string) (platform.Snapshot, error) {
+// List implements platform.Kinds.
+func (d *storeDoor) List(ctx context.Context, kind string) (platform.Snapshot, error) {
 	if err := d.answers(ctx, "list", kind, callSilence); err != nil {
 		return platform.Snapshot{}, err
 	}
@@ -356,9 +356,9 @@
 	return out, nil
 }
 
-// Follow implements platform.Kinds. A door that is shut while a watch waits swallows its
+// Watch implements platform.Kinds. A door that is shut while a watch waits swallows its
 // answer.
-func (d *storeDoor) Follow(ctx context.Context, kind string, after platform.Version, wait time.Duration) (platform.Changes, error) {
+func (d *storeDoor) Watch(ctx context.Context, kind string, after platform.Version, wait time.Duration) (platform.Changes, error) {
 	began, end := time.Now(), time.After(wait)
 	if err := d.answers(ctx, "watch", kind, wait+watchSilence); err != nil {
 		return platform.Changes{}, err
@@ -368,7 +368,7 @@
 		out, wake, forgotten := platform.Changes{Revision: d.s.revision}, d.s.wake, after < d.s.lost
 		for _, c := range d.s.history {
 			if c.kind == kind && c.Version > after {
-				out.Changes = append(out.Changes, platform.Change{Named: c.Named, Deleted: c.deleted})
+				out.Changes = append(out.Changes, platform.Change{NamedObject: c.NamedObject, Deleted: c.deleted})
 			}
 		}
 		d.s.mu.Unlock()
@@ -399,9 +399,9 @@
 }
 
 // Get implements platform.Kinds.
-func (d *storeDoor) Get(ctx context.Context, kind, name string) (platform.Named, error) {
+func (d *storeDoor) Get(ctx context.Context, kind, name string) (platform.NamedObject, error) {
 	if err := d.answers(ctx, "get", kind+"/"+name, callSilence); err != nil {
-		return platform.Named{}, err
+		return platform.NamedObject{}, err
 	}
 	d.s.mu.Lock()
 	defer d.s.mu.Unlock()
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -87,11 +87,11 @@
 }
 
 // present returns the objects that a page of changes leaves, in order.
-func present(c platform.Changes) []platform.Named {
-	var out []platform.Named
+func present(c platform.Changes) []platform.NamedObject {
+	var out []platform.NamedObject
 	for _, ch := range c.Changes {
 		if !ch.Deleted {
-			out = append(out, ch.Named)
+			out = append(out, ch.NamedObject)
 		}
 	}
 	return out
@@ -128,7 +128,7 @@
 			continue
 		}
 		failures++
-		metric.PlatformDown.Inc()
+		metric.PlatformErrors.Inc()
 		g.contact(f.kind, err)
 		if !wait.For(ctx, pause(failures)) {
 			return
@@ -139,7 +139,7 @@
 func (g *Gateway) followOnce(ctx context.Context, f feed, at platform.Version, listed bool, watch time.Duration) (platform.Version, error) {
 	asked := g.now()
 	if !listed {
-		s, err := g.store.All(ctx, f.kind)
+		s, err := g.store.List(ctx, f.kind)
 		if err != nil {
 			return at, err
 		}
@@ -148,7 +148,7 @@
 		f.confirm(asked)
 		return s.Revision, nil
 	}
-	c, err := g.store.Follow(ctx, f.kind, at, watch)
+	c, err := g.store.Watch(ctx, f.kind, at, watch)
 	if err != nil {
 		return at, err
 	}
@@ -163,7 +163,7 @@
 	if n == 0 {
 		return
 	}
-	metric.ObjectsUnreadable.Add(n)
+	metric.UnreadableObjects.Add(n)
 	g.log.WithField("kind", kind).WithField("objects", n).Error("objects not readable, left out")
 }
 
@@ -224,7 +224,7 @@
 
 // readConfigs takes configurations as stored. One that can't be read leaves the
 // one before in force.
-func (g *Gateway) readConfigs(objects []platform.Named) {
+func (g *Gateway) readConfigs(objects []platform.NamedObject) {
 	for _, o := range objects {
 		if o.Name == g.codec.ConfigName() {
 			g.readConfig(o.Value, fromStore)
@@ -254,13 +254,13 @@
 		last[ch.Name] = ch
 	}
 	e := targetsChanged{revision: c.Revision}
-	var stay []platform.Named
+	var stay []platform.NamedObject
 	for name, ch := range last {
 		if ch.Deleted {
 			e.gone = append(e.gone, name)
 			continue
 		}
-		stay = append(stay, ch.Named)
+		stay = append(stay, ch.NamedObject)
 	}
 	e.present = g.decodeTargets(stay)
 	g.send(e)
@@ -268,7 +268,7 @@
 
 // decodeTargets decodes entries. One that can't be read names no target to use, and
 // stands in the list all the same. Of several one line is written.
-func (g *Gateway) decodeTargets(objects []platform.Named) []catalog.Target {
+func (g *Gateway) decodeTargets(objects []platform.NamedObject) []catalog.Target {
 	out := make([]catalog.Target, 0, len(objects))
 	var bad []error
 	for _, o := range objects {
@@ -286,13 +286,13 @@
 	return out
 }
 
-func (g *Gateway) readVersions(revision platform.Version, objects []platform.Named) {
+func (g *Gateway) readVersions(revision platform.Version, objects []platform.NamedObject) {
 	e := versionsNamed{revision: revision, from: fromStore}
 	for _, o := range objects {
 		e.changed = max(e.changed, o.Version)
 		v, err := g.codec.NamedVersion(o.Name, o.Value)
 		if err != nil {
-			metric.VersionsUnreadable.Inc()
+			metric.UnreadableWeightVersions.Inc()
 			g.log.WithError(err).WithField("object", o.Name).Error("weight version not readable, left out")
 			continue
 		}
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -19,7 +19,7 @@
 // countingKinds is an object store that counts calls: lists, and changes asked for. A watch
 // ends at once, as in a storm of changes.
 type countingKinds struct {
-	platform.Kinds
+	platform.KindStore
 	lists, watches atomic.Int64
 	after          atomic.Uint64 // the revision that the last watch went on from
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -39,7 +39,7 @@
 // Ports are the outside parties, by adapters.
 type Ports struct {
 	Codec   Codec
-	Store   platform.Kinds
+	Store   platform.KindStore
 	Engines Engines
 	// Listen opens a listener and Dial a connection to a peer or a target, nil: on the network
 	// of this machine. A test gives links of its own.
@@ -53,7 +53,7 @@
 	log     log.Interface
 	now     func() time.Time
 	codec   Codec
-	store   platform.Kinds
+	store   platform.KindStore
 	engines Engines
 
 	ctx         context.Context
--- a/internal/gateway/late_saves.go
+++ b/internal/gateway/late_saves.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/shedhoist/shedhoist/internal/core/stock"
+	"github.com/shedhoist/shedhoist/internal/core/cachestore"
 	"github.com/shedhoist/shedhoist/internal/loads"
 )
 
@@ -14,7 +14,7 @@
 
 // partKey names a part in words of late saves. If two parts share one, a save of either makes
 // both late.
-func partKey(k stock.Key) loads.Key { return loads.KeyOf(k.Salt + "/" + k.Part) }
+func partKey(k cachestore.Key) loads.Key { return loads.KeyOf(k.Salt + "/" + k.Part) }
 
 // ownLate are the parts of this instance's own late saves.
 func (c *cacheDirectory) ownLate() []loads.Key {
@@ -30,21 +30,21 @@
 	if c.g.view.Load().Tree.small {
 		after = 0
 	}
-	for _, k := range c.saves.Late(now, after, c.signs) {
+	for _, k := range c.saves.PendingParts(now, after, c.signs) {
 		out = append(out, partKey(k))
 	}
 	return out
 }
 
 // signs are what is known of a target.
-func (c *cacheDirectory) signs(target string) stock.Signs {
+func (c *cacheDirectory) signs(target string) cachestore.TargetActivity {
 	own := &c.g.upstream.work.Of(target).Silence
 	now := c.g.now()
-	return stock.Signs{Heard: own.Heard(), Silent: own.Among(c.g.silences.Since(loads.KeyOf(target), now), now)}
+	return cachestore.TargetActivity{LastResponse: own.Heard(), UnresponsiveFor: own.Among(c.g.silences.Since(loads.KeyOf(target), now), now)}
 }
 
 // beginSave notes what a request asks a target to save; nil: nothing.
-func (c *cacheDirectory) beginSave(target string, parts []stock.Key) *stock.Save {
+func (c *cacheDirectory) beginSave(target string, parts []cachestore.Key) *cachestore.Save {
 	if len(parts) == 0 {
 		return nil
 	}
@@ -63,7 +63,7 @@
 )
 
 // endSave notes how the request of a save ended.
-func (c *cacheDirectory) endSave(s *stock.Save, how saveEnd) {
+func (c *cacheDirectory) endSave(s *cachestore.Save, how saveEnd) {
 	if s == nil {
 		return
 	}
@@ -76,7 +76,7 @@
 	case saveNotSent:
 		s.NotSent(now)
 	case saveLeft:
-		s.Left(now)
+		s.Abandoned(now)
 	}
 }
 
--- a/internal/gateway/lease.go
+++ b/internal/gateway/lease.go
@@ -98,7 +98,7 @@
 }
 
 // saw takes the lease's object as the store told it.
-func (o *rollout) saw(obj platform.Named) {
+func (o *rollout) saw(obj platform.NamedObject) {
 	var v leaseValue
 	if obj.Version != 0 {
 		if err := json.Unmarshal(obj.Value, &v); err != nil {
@@ -175,12 +175,12 @@
 		return nil
 	}
 	if *at == 0 {
-		s, err := o.g.store.All(ctx, leaseKind)
+		s, err := o.g.store.List(ctx, leaseKind)
 		if err != nil {
 			return err
 		}
 		if len(s.Objects) == 0 {
-			o.saw(platform.Named{})
+			o.saw(platform.NamedObject{})
 		}
 		for _, obj := range s.Objects {
 			o.saw(obj)
@@ -188,7 +188,7 @@
 		*at = s.Revision
 		return nil
 	}
-	c, err := o.g.store.Follow(ctx, leaseKind, *at, leaseWatch)
+	c, err := o.g.store.Watch(ctx, leaseKind, *at, leaseWatch)
 	var lost *platform.HistoryLostError
 	if errors.As(err, &lost) {
 		*at = 0
@@ -199,7 +199,7 @@
 	}
 	for _, ch := range c.Changes {
 		if !ch.Deleted {
-			o.saw(ch.Named)
+			o.saw(ch.NamedObject)
 		}
 	}
 	*at = max(*at, c.Revision)
--- a/internal/gateway/model.go
+++ b/internal/gateway/model.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"github.com/shedhoist/shedhoist/internal/catalog"
+	"github.com/shedhoist/shedhoist/internal/core/cachestore"
 	"github.com/shedhoist/shedhoist/internal/core/place"
-	"github.com/shedhoist/shedhoist/internal/core/stock"
 	"github.com/shedhoist/shedhoist/internal/loads"
 )
 
@@ -26,8 +26,8 @@
 	version uint64 // weight version that the plan is for
 	parts   []PartPlan
 	fetches int
-	saved   []stock.Key
-	save    *stock.Save // notes when what is saved is over; nil: nothing is saved
+	saved   []cachestore.Key
+	save    *cachestore.Save // notes when what is saved is over; nil: nothing is saved
 	// silentMS is how long the target had been silent if that kept saves back, else 0.
 	silentMS int64
 }
@@ -37,7 +37,7 @@
 
 // salt is the text under which the prompt's parts are cached with weights of a version.
 func (x *exchange) salt(version uint64) string {
-	return stock.Salt{Wall: x.view.Config.Wall(x.customer), Model: x.call.Prompt.Model, Version: version}.String()
+	return cachestore.Salt{CacheScope: x.view.Config.Wall(x.customer), Model: x.call.Prompt.Model, Version: version}.String()
 }
 
 // sourcesOf finds the prompt's parts in the stores, once for each version and attempt.
@@ -187,7 +187,7 @@
 // those put behind would only lose their memory to others (docs/ROUTING.md).
 func (x *exchange) urgency() int {
 	rank := x.priority()
-	if len(x.view.Alive) <= smallFleet || !x.g.settings().Policy.LateBehind {
+	if len(x.view.Alive) <= smallFleet || !x.g.settings().Policy.DeprioritizeLate {
 		return min(rank, lowestPriority)
 	}
 	left := float64(x.route.Objective)/float64(time.Millisecond) - x.sinceMS()
--- a/internal/gateway/news.go
+++ b/internal/gateway/news.go
@@ -234,7 +234,7 @@
 	err := g.pool.Call(ctx, p.from.Address, peerService+".Hello", hello, &reply)
 	entry := g.log.WithField("peer", p.from.Name).WithField("took_ms", g.now().Sub(asked).Milliseconds())
 	if err != nil {
-		metric.NewsFailed.Inc()
+		metric.UpdatesFailed.Inc()
 		entry.WithError(err).WithField("config", hello.Have.Config).WithField("peer_config", p.have.Config).Warn("news not had")
 		return
 	}
--- a/internal/gateway/ports.go
+++ b/internal/gateway/ports.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/shedhoist/shedhoist/internal/catalog"
-	"github.com/shedhoist/shedhoist/internal/core/stock"
+	"github.com/shedhoist/shedhoist/internal/core/cachestore"
 )
 
 // Codec is the dialect of callers, servers and operators. It translates and
@@ -127,7 +127,7 @@
 	CacheList(ctx context.Context, address string) (CacheList, error)
 	// Free frees parts, if the store still is in the epoch and its clock has not
 	// passed untilMS.
-	Free(ctx context.Context, address string, epoch uint64, untilMS int64, parts []stock.Key) error
+	Free(ctx context.Context, address string, epoch uint64, untilMS int64, parts []cachestore.Key) error
 }
 
 // Report is a target's own word of its state; it lags some hundred ms.
@@ -157,7 +157,7 @@
 	Next    uint64
 	Gap     bool // some of the events up to Next are left out
 	ClockMS float64
-	Events  []stock.Event
+	Events  []cachestore.Event
 	// Unreadable is how many events can't be read and are left out; Gap is true then.
 	Unreadable int
 }
@@ -167,8 +167,8 @@
 	Epoch   uint64
 	Next    uint64
 	ClockMS float64
-	Held    []stock.Held
-	Partial []stock.Held // not complete, but taking space
+	Held    []cachestore.StoredPart
+	Partial []cachestore.StoredPart // not complete, but taking space
 	// Unreadable is how many parts can't be read and are left out.
 	Unreadable int
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -199,7 +199,7 @@
 
 // reject ends a request that is kept from targets.
 func (x *exchange) reject(s quarantine.State) {
-	metric.QuarantineRejects.Inc()
+	metric.QuarantineRejections.Inc()
 	x.suspect = &s
 	x.failAfter(x.machine.Quarantined(), ending{event: attempt.NotSent, retryAfter: s.TrialIn})
 }
--- a/internal/gateway/try.go
+++ b/internal/gateway/try.go
@@ -246,7 +246,7 @@
 // run then; it is not sent again. For prompts the risk is small beside what a new
 // connection takes of a target's time each time: 1 ms, and a slot meanwhile.
 func (x *exchange) mayReuse() bool {
-	return x.route.Repeatable() || (x.call.Prompt != nil && x.g.settings().Policy.KeptStreams)
+	return x.route.Repeatable() || (x.call.Prompt != nil && x.g.settings().Policy.StreamConnReuse)
 }
 
 // take reads an answer and passes it on as far as it may be.
@@ -256,7 +256,7 @@
 	}
 	a, status := at.answer, at.resp.StatusCode
 	if !x.answers(a) {
-		metric.Mismatches.Inc()
+		metric.MismatchedResponses.Inc()
 		return bad(attempt.Mismatched, "answer to request "+strconv.Quote(a.ID), nil)
 	}
 	if a.NotRun {
--- a/internal/gateway/word.go
+++ b/internal/gateway/word.go
@@ -12,11 +12,11 @@
 // hearWord takes what a target says of itself in an answer.
 func (g *Gateway) hearWord(t *catalog.Target, w Word, by registry.Teller) {
 	if w.Leaving {
-		metric.LeavingWords.Inc()
+		metric.LeavingNotices.Inc()
 		g.hearLeaving(t, by)
 	}
 	if w.Rest > 0 {
-		metric.RestWords.Inc()
+		metric.BackoffRequests.Inc()
 		g.giveRest(t, w.Rest, by)
 	}
 }
--- a/internal/kvstore/kvstore.go
+++ b/internal/kvstore/kvstore.go
@@ -42,14 +42,14 @@
 	Pieces  []Piece `json:"pieces"`
 }
 
-// Lookup asks how much of a chain is kept.
-type Lookup struct {
+// LookupRequest asks how much of a chain is kept.
+type LookupRequest struct {
 	Keys []string `json:"cache_keys"`
 }
 
-// Found is the answer to a Lookup. Covered leading keys are kept below
+// LookupResult is the answer to a Lookup. Covered leading keys are kept below
 // Manifest; 0 means none.
-type Found struct {
+type LookupResult struct {
 	Covered  int     `json:"covered"`
 	Manifest string  `json:"manifest,omitempty"`
 	Tier     Tier    `json:"tier,omitempty"`
@@ -103,12 +103,12 @@
 }
 
 // Lookup asks one store how much of a chain it keeps.
-func (c *Client) Lookup(ctx context.Context, address string, keys []string) (Found, error) {
-	body, err := json.Marshal(Lookup{Keys: keys})
+func (c *Client) Lookup(ctx context.Context, address string, keys []string) (LookupResult, error) {
+	body, err := json.Marshal(LookupRequest{Keys: keys})
 	if err != nil {
-		return Found{}, &Error{Store: address, Path: "/v1/lookup", Cause: err}
+		return LookupResult{}, &Error{Store: address, Path: "/v1/lookup", Cause: err}
 	}
-	var out Found
+	var out LookupResult
 	return out, c.call(ctx, http.MethodPost, address, "/v1/lookup", body, &out)
 }
 
@@ -144,5 +144,5 @@
 	return nil
 }
 
-// NewClientWith returns a client on an HTTP client of the caller's.
-func NewClientWith(hc *http.Client) *Client { return &Client{http: hc} }
+// NewClientWithHTTP returns a client on an HTTP client of the caller's.
+func NewClientWithHTTP(hc *http.Client) *Client { return &Client{http: hc} }
--- a/internal/metric/metric_test.go
+++ b/internal/metric/metric_test.go
@@ -18,9 +18,9 @@
 		t.Fatal(err)
 	}
 	metric.Requests("x", "x").Inc()
-	metric.Refused("x", "x").Inc()
+	metric.LimitRefusals("x", "x").Inc()
 	metric.StoreErrors("x").Inc()
-	metric.TargetEnds("x", "x").Inc()
+	metric.Attempts("x", "x").Inc()
 	for _, name := range metrics.ListMetricNames() {
 		base, _, _ := strings.Cut(name, "{")
 		suffix := strings.TrimPrefix(base, "shedhoist_ledger")
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -14,10 +14,10 @@
 	"github.com/go-kit/kit/endpoint"
 	kithttp "github.com/go-kit/kit/transport/http"
 
+	"github.com/shedhoist/shedhoist/internal/explain"
 	"github.com/shedhoist/shedhoist/internal/peer"
 	"github.com/shedhoist/shedhoist/internal/problem"
 	"github.com/shedhoist/shedhoist/internal/view"
-	"github.com/shedhoist/shedhoist/internal/why"
 )
 
 // Fleet is the answer of /v1/status: whether the newest generation known is in
@@ -61,7 +61,7 @@
 	Members(ctx context.Context) []Member
 	Targets() []Target
 	Dump(ctx context.Context) any
-	ExplainAnywhere(ctx context.Context, id string) *why.Record
+	ExplainAnywhere(ctx context.Context, id string) *explain.Record
 }
 
 // Edge serves operators.
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -12,7 +12,7 @@
 	"github.com/shedhoist/shedhoist/internal/core/member"
 	"github.com/shedhoist/shedhoist/internal/core/observe"
 	"github.com/shedhoist/shedhoist/internal/core/once"
-	"github.com/shedhoist/shedhoist/internal/why"
+	"github.com/shedhoist/shedhoist/internal/explain"
 )
 
 // TLSConfig gives the configurations of both sides of a connection.
@@ -69,7 +69,7 @@
 
 // Explained is the answer to Explain.
 type Explained struct {
-	Record *why.Record `cbor:"1,keyasint"` // nil: not known here
+	Record *explain.Record `cbor:"1,keyasint"` // nil: not known here
 }
 
 // StatusRequest asks a peer for its state in brief.
@@ -112,7 +112,7 @@
 type Handler interface {
 	Ping(Ping) Pong
 	Config(ConfigRequest) (ConfigReply, error)
-	Explain(id string) *why.Record
+	Explain(id string) *explain.Record
 	Status() Status
 	Claim(Claim) (Claimed, error)
 	Settle(Settle)
--- a/internal/peer/pool_test.go
+++ b/internal/peer/pool_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/shedhoist/shedhoist/internal/why"
+	"github.com/shedhoist/shedhoist/internal/explain"
 )
 
 // answers is a peer that answers as its caller gives up.
@@ -19,7 +19,7 @@
 	return Pong{Generation: 7}
 }
 func (answers) Config(ConfigRequest) (ConfigReply, error) { return ConfigReply{}, nil }
-func (answers) Explain(string) *why.Record                { return nil }
+func (answers) Explain(string) *explain.Record            { return nil }
 func (answers) Status() Status                            { return Status{} }
 func (answers) Claim(Claim) (Claimed, error)              { return Claimed{}, nil }
 func (answers) Settle(Settle)                             {}
@@ -66,10 +66,10 @@
 	asked, goOn chan struct{}
 }
 
-func (s slow) Explain(id string) *why.Record {
+func (s slow) Explain(id string) *explain.Record {
 	s.asked <- struct{}{}
 	<-s.goOn
-	return &why.Record{ID: id}
+	return &explain.Record{ID: id}
 }
 
 // TestOthersGoOn: a call that takes too long ends for itself. The others under way on its
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -131,7 +131,7 @@
 	isWrite := r.cond != nil
 	fail := func(status int, err error) error {
 		unknown := isWrite && (status == 0 || status >= 500)
-		return &UnavailableError{Op: r.op, Key: r.key, Status: status, Unknown: unknown, Cause: err}
+		return &UnavailableError{Op: r.op, Key: r.key, Status: status, OutcomeUnknown: unknown, Cause: err}
 	}
 	req, err := http.NewRequestWithContext(ctx, r.method, c.base+r.path, bytes.NewReader(r.body))
 	if err != nil {
--- a/internal/platform/kinds.go
+++ b/internal/platform/kinds.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Named is one object of a kind, with its value.
-type Named struct {
+// NamedObject is one object of a kind, with its value.
+type NamedObject struct {
 	Name    string
 	Version Version
 	Value   []byte // as stored
@@ -15,7 +15,7 @@
 // Snapshot is all objects of a kind at a revision.
 type Snapshot struct {
 	Revision Version
-	Objects  []Named
+	Objects  []NamedObject
 	// Unreadable is how many objects can\'t be read and are left out.
 	Unreadable int
 }
@@ -23,7 +23,7 @@
 // Change is one change of a kind. A deleted object has its last value, if the
 // platform told it.
 type Change struct {
-	Named
+	NamedObject
 	Deleted bool
 }
 
@@ -36,16 +36,16 @@
 	Unreadable int
 }
 
-// Kinds is the object API of a platform that sorts its objects by kind and hands
+// KindStore is the object API of a platform that sorts its objects by kind and hands
 // out values on lists and watches. Errors are those of Store.
-type Kinds interface {
-	// All lists a kind whole, over as many pages as it takes.
-	All(ctx context.Context, kind string) (Snapshot, error)
-	// Follow waits up to wait for changes of a kind after a revision. It returns
+type KindStore interface {
+	// List lists a kind whole, over as many pages as it takes.
+	List(ctx context.Context, kind string) (Snapshot, error)
+	// Watch waits up to wait for changes of a kind after a revision. It returns
 	// a *HistoryLostError if the platform no longer knows all of them.
-	Follow(ctx context.Context, kind string, after Version, wait time.Duration) (Changes, error)
+	Watch(ctx context.Context, kind string, after Version, wait time.Duration) (Changes, error)
 	// Get returns one object or a *NotFoundError.
-	Get(ctx context.Context, kind, name string) (Named, error)
+	Get(ctx context.Context, kind, name string) (NamedObject, error)
 	// Put writes value if the object's version still is want (0: must not
 	// exist). Its failures are those of Store.Put.
 	Put(ctx context.Context, kind, name string, value []byte, want Version) (Version, error)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -91,11 +91,11 @@
 // UnavailableError says that the platform did not answer usefully. Unknown is
 // true when a write may have taken effect all the same.
 type UnavailableError struct {
-	Op      string
-	Key     string
-	Status  int // HTTP status, 0 when there was no answer
-	Unknown bool
-	Cause   error
+	Op             string
+	Key            string
+	Status         int // HTTP status, 0 when there was no answer
+	OutcomeUnknown bool
+	Cause          error
 }
 
 // Error implements error.
@@ -104,7 +104,7 @@
 	if e.Status != 0 {
 		msg += fmt.Sprintf(" with status %d", e.Status)
 	}
-	if e.Unknown {
+	if e.OutcomeUnknown {
 		msg += ", outcome unknown"
 	}
 	if e.Cause != nil {
--- a/internal/registry/table.go
+++ b/internal/registry/table.go
@@ -190,7 +190,7 @@
 	}
 	next.Unusable = true
 	t.set(&next)
-	metric.EntriesUnusable.Inc()
+	metric.UnusableTargetEntries.Inc()
 	if t.mayLog() {
 		t.entryLog(x.Name).WithField("revision", x.Revision).Warn("target's entry names no target to use")
 	}
--- a/internal/standin/engine/kv.go
+++ b/internal/standin/engine/kv.go
@@ -71,7 +71,7 @@
 // alreadyKept asks the store how many leading pieces it has, so that a head
 // shared by many prompts crosses the link once.
 func (s *Server) alreadyKept(ctx context.Context, e target.Export) int {
-	found, err := kvstore.NewClientWith(s.http).Lookup(ctx, e.Store, e.Keys)
+	found, err := kvstore.NewClientWithHTTP(s.http).Lookup(ctx, e.Store, e.Keys)
 	if err != nil {
 		return 0
 	}
@@ -154,7 +154,7 @@
 	var best target.Import
 	var from string
 	for _, store := range im.Stores {
-		found, err := kvstore.NewClientWith(s.http).Lookup(ctx, store, j.ext.Keys)
+		found, err := kvstore.NewClientWithHTTP(s.http).Lookup(ctx, store, j.ext.Keys)
 		if err == nil && found.Covered > best.Covered {
 			best, from = target.Import{Manifest: found.Manifest, Covered: found.Covered}, store
 		}
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -167,7 +167,7 @@
 // serve queues, computes the prompt and streams the answer. It returns false
 // if the run was cut.
 func (s *Server) serve(ctx context.Context, w http.ResponseWriter, j *job) bool {
-	tokens := prefix.Tokens(len(j.canonical))
+	tokens := prefix.EstimateTokens(len(j.canonical))
 	s.count(func() { s.waiting++; s.queued += tokens })
 	turn := s.slots.acquire(ctx, j.ext.Priority)
 	s.count(func() { s.waiting-- })
--- a/internal/standin/measure/bench.go
+++ b/internal/standin/measure/bench.go
@@ -288,7 +288,7 @@
 func (o *BenchOptions) account(f *fleet.Fleet, r *Result, arrivals []Arrival, seconds float64) {
 	var asked, computed, restored, most int64
 	for _, a := range arrivals {
-		asked += int64(prefix.Tokens(len(a.Prompt)))
+		asked += int64(prefix.EstimateTokens(len(a.Prompt)))
 	}
 	for _, e := range f.Engines {
 		c := e.Counters()
--- a/internal/standin/measure/slopes.go
+++ b/internal/standin/measure/slopes.go
@@ -15,10 +15,10 @@
 	"github.com/shedhoist/shedhoist/internal/core/once"
 	"github.com/shedhoist/shedhoist/internal/core/prefix"
 	"github.com/shedhoist/shedhoist/internal/core/route"
+	"github.com/shedhoist/shedhoist/internal/explain"
 	"github.com/shedhoist/shedhoist/internal/standin/engine"
 	"github.com/shedhoist/shedhoist/internal/standin/fleet"
 	"github.com/shedhoist/shedhoist/internal/view"
-	"github.com/shedhoist/shedhoist/internal/why"
 )
 
 // timePer runs f often enough to time it, in microseconds each.
@@ -145,7 +145,7 @@
 			var key prefix.Key
 			for i := range n {
 				key[0], key[1], key[2] = byte(i), byte(i>>8), byte(i>>16)
-				h.Learn(fmt.Sprintf("engine-%d", i/4096), []prefix.Key{key})
+				h.Add(fmt.Sprintf("engine-%d", i/4096), []prefix.Key{key})
 			}
 			return h
 		}))
@@ -157,10 +157,10 @@
 	s := &Slope{Role: "why-records", Figure: "memory of why-records", Unit: "kB", Over: "records", Want: Linear, Target: 4096}
 	for _, n := range []int{500, 1000, 2000, 4096} {
 		s.X, s.Y = append(s.X, float64(n)), append(s.Y, held(func() any {
-			l := why.NewLog(n)
+			l := explain.NewLog(n)
 			for i := range n {
-				l.Add(&why.Record{ID: fmt.Sprintf("%036d", i), Instance: "entry-1", Customer: "customer-1", Name: "m", Version: "v",
-					Attempts: []why.Attempt{{Target: "engine-1", Candidates: make([]route.Candidate, 5)}}})
+				l.Add(&explain.Record{ID: fmt.Sprintf("%036d", i), Instance: "entry-1", Customer: "customer-1", Name: "m", Version: "v",
+					Attempts: []explain.Attempt{{Target: "engine-1", Candidates: make([]route.Candidate, 5)}}})
 			}
 			return l
 		}))
--- a/internal/standin/measure/workload.go
+++ b/internal/standin/measure/workload.go
@@ -101,7 +101,7 @@
 	seen := map[string]bool{}
 	var must, all int
 	for _, a := range arrivals {
-		tokens := prefix.Tokens(len(a.Prompt))
+		tokens := prefix.EstimateTokens(len(a.Prompt))
 		all += tokens
 		must += tokens - a.Pieces*piece/prefix.BytesPerToken
 		for p := 1; p <= a.Pieces; p++ {
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -172,13 +172,13 @@
 }
 
 func (s *Server) lookup(w http.ResponseWriter, r *http.Request) {
-	var q kvstore.Lookup
+	var q kvstore.LookupRequest
 	if err := json.NewDecoder(r.Body).Decode(&q); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
-	var out kvstore.Found
+	var out kvstore.LookupResult
 	for i, key := range q.Keys {
 		p := s.pieces[key]
 		if p == nil || s.listed[key] == "" {
--- a/internal/tool/state.go
+++ b/internal/tool/state.go
@@ -16,9 +16,9 @@
 
 	"github.com/spf13/cobra"
 
+	"github.com/shedhoist/shedhoist/internal/explain"
 	"github.com/shedhoist/shedhoist/internal/operator"
 	"github.com/shedhoist/shedhoist/internal/wait"
-	"github.com/shedhoist/shedhoist/internal/why"
 )
 
 // DaemonError says that an instance did not answer an operator's call, or
@@ -223,7 +223,7 @@
 	return &cobra.Command{Use: "explain REQUEST-ID", Short: "Show why a request went where it went, whichever instance served it",
 		Example: "  shedhoist explain 4f0c2a58-6f1d-4f0e-9d52-8f1a3f1f8f11", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			var r why.Record
+			var r explain.Record
 			if err := o.ask(cmd.Context(), "/v1/explain/"+url.PathEscape(args[0]), &r); err != nil {
 				return err
 			}
@@ -231,20 +231,20 @@
 		}}
 }
 
-func explainTable(w io.Writer, r *why.Record) {
+func explainTable(w io.Writer, r *explain.Record) {
 	fmt.Fprintf(w, "request %s\n", r.ID)
 	fmt.Fprintf(w, "  customer\t%s\n  %s\t%s\n  served by\t%s, generation %d\n", r.Customer, r.Kind, r.Name, r.Instance, r.Generation)
 	if r.Kind == "model" {
 		fmt.Fprintf(w, "  weights\t%s %s\n", r.Version, r.Adapter)
-		fmt.Fprintf(w, "  prompt\t%d tokens: %d cached, %d of them restored\n", r.Prompt, r.Cached, r.Restored)
-		fmt.Fprintf(w, "  answer\t%d tokens, first after %.1f ms, all after %.1f ms\n", r.Generated, r.FirstMS, r.TotalMS)
+		fmt.Fprintf(w, "  prompt\t%d tokens: %d cached, %d of them restored\n", r.PromptTokens, r.CachedTokens, r.RestoredTokens)
+		fmt.Fprintf(w, "  answer\t%d tokens, first after %.1f ms, all after %.1f ms\n", r.GeneratedTokens, r.FirstTokenMS, r.TotalMS)
 	}
 	fmt.Fprintf(w, "  outcome\t%s, execution %s\n", r.Outcome, r.Execution)
-	if r.Kept != "" {
-		fmt.Fprintf(w, "  kept in\t%s\n", r.Kept)
+	if r.SavedIn != "" {
+		fmt.Fprintf(w, "  kept in\t%s\n", r.SavedIn)
 	}
 	for i, a := range r.Attempts {
-		fmt.Fprintf(w, "attempt %d at %.1f ms\t%s %s %s\tpredicted first token %.1f ms\tended: %s %s\n", i+1, a.StartMS, a.Target, a.Action, a.Store, a.PredictedMS, a.Ended, a.Next)
+		fmt.Fprintf(w, "attempt %d at %.1f ms\t%s %s %s\tpredicted first token %.1f ms\tended: %s %s\n", i+1, a.StartMS, a.Target, a.Action, a.Store, a.PredictedMS, a.Result, a.Next)
 		f := a.Filtered
 		fmt.Fprintf(w, "  passed over\tstate %d, version %d, adapter %d, tried %d\n", f.State, f.Version, f.Adapter, f.Tried)
 		for _, c := range a.Candidates {
