--- a/internal/core/attempt/attempt.go
+++ b/internal/core/attempt/attempt.go
@@ -11,14 +11,14 @@
 
 // Events. Their order in a life: Place, then one of the ends for each attempt.
 const (
-	NotSent    Event = iota // no byte of the request reached a connection
-	Refused                 // the target refused in its documented way: it did not run
-	BrokeEarly              // the connection broke after bytes were sent, before an answer began
-	BrokeLate               // the answer began and is not whole
-	Mismatched              // the answer belongs to another request
-	TimedOut                // the attempt or the request passed its deadline
-	CallerGone              // the caller closed its connection
-	Done                    // the whole answer is there
+	NotSent              Event = iota // no byte of the request reached a connection
+	Refused                           // the target refused in its documented way: it did not run
+	FailedBeforeResponse              // the connection broke after bytes were sent, before an answer began
+	FailedMidResponse                 // the answer began and is not whole
+	Mismatched                        // the answer belongs to another request
+	TimedOut                          // the attempt or the request passed its deadline
+	CallerGone                        // the caller closed its connection
+	Done                              // the whole answer is there
 )
 
 // String names the event for why-records, logs and metrics.
@@ -100,7 +100,7 @@
 func (r *Request) note(ev Event) {
 	switch ev {
 	case NotSent, Refused:
-	case BrokeLate, Done:
+	case FailedMidResponse, Done:
 		r.touched, r.answered = true, true
 	default:
 		r.touched = true
@@ -112,9 +112,9 @@
 	switch ev {
 	case NotSent, Refused:
 		return Retry, true
-	case BrokeEarly, Mismatched:
+	case FailedBeforeResponse, Mismatched:
 		return Retry, r.idempotent
-	case BrokeLate:
+	case FailedMidResponse:
 		if r.resumable {
 			return Resume, r.idempotent
 		}
@@ -134,7 +134,7 @@
 }
 
 var kinds = map[Event]problem.Kind{
-	NotSent: problem.NoTarget, Refused: problem.Overloaded, BrokeEarly: problem.TargetFailed,
-	BrokeLate: problem.BadAnswer, Mismatched: problem.BadAnswer, TimedOut: problem.TargetTimeout,
+	NotSent: problem.NoTarget, Refused: problem.Overloaded, FailedBeforeResponse: problem.TargetFailed,
+	FailedMidResponse: problem.BadAnswer, Mismatched: problem.BadAnswer, TimedOut: problem.TargetTimeout,
 	CallerGone: problem.CallerGone,
 }
--- a/internal/core/attempt/attempt_test.go
+++ b/internal/core/attempt/attempt_test.go
@@ -27,8 +27,8 @@
 	}{
 		{"not sent", attempt.NotSent, retry, retry},
 		{"refused", attempt.Refused, retry, retry},
-		{"broke early", attempt.BrokeEarly, retry, fail(problem.TargetFailed, problem.MayHaveRun)},
-		{"broke late", attempt.BrokeLate, resume, fail(problem.BadAnswer, problem.Ran)},
+		{"broke early", attempt.FailedBeforeResponse, retry, fail(problem.TargetFailed, problem.MayHaveRun)},
+		{"broke late", attempt.FailedMidResponse, resume, fail(problem.BadAnswer, problem.Ran)},
 		{"mismatched", attempt.Mismatched, retry, fail(problem.BadAnswer, problem.MayHaveRun)},
 		{"timed out", attempt.TimedOut, fail(problem.TargetTimeout, problem.MayHaveRun), fail(problem.TargetTimeout, problem.MayHaveRun)},
 		{"caller gone", attempt.CallerGone, fail(problem.CallerGone, problem.MayHaveRun), fail(problem.CallerGone, problem.MayHaveRun)},
@@ -57,7 +57,7 @@
 			if ev != attempt.NotSent && ev != attempt.Refused {
 				touched = true
 			}
-			answered = answered || ev == attempt.BrokeLate || ev == attempt.Done
+			answered = answered || ev == attempt.FailedMidResponse || ev == attempt.Done
 			v := r.Step(ev, func() bool { return rapid.Bool().Draw(t, "budget") })
 			switch v.Action {
 			case attempt.Retry, attempt.Resume:
--- a/internal/core/limit/fleet.go
+++ b/internal/core/limit/fleet.go
@@ -7,7 +7,7 @@
 // instance earns by its own requests and holds its own part of the slack, so
 // that no instance needs to ask another.
 type FleetBudget struct {
-	Share float64 // retries earned by a request
+	Ratio float64 // retries earned by a request
 	Slack float64 // retries of the whole fleet in a window beyond those earned
 
 	level float64
@@ -17,7 +17,7 @@
 // NewFleetBudget returns a budget that holds its part of the slack, for a fleet
 // of so many instances.
 func NewFleetBudget(share, slack float64, instances int) *FleetBudget {
-	b := &FleetBudget{Share: share, Slack: slack}
+	b := &FleetBudget{Ratio: share, Slack: slack}
 	b.Resize(instances)
 	b.level = b.full
 	return b
@@ -29,11 +29,11 @@
 	b.level = math.Min(b.level, b.full)
 }
 
-// Request earns for one request.
-func (b *FleetBudget) Request() { b.level = math.Min(b.full, b.level+b.Share) }
+// Deposit earns for one request.
+func (b *FleetBudget) Deposit() { b.level = math.Min(b.full, b.level+b.Ratio) }
 
-// Retry spends one retry if there is one.
-func (b *FleetBudget) Retry() bool {
+// TryWithdraw spends one retry if there is one.
+func (b *FleetBudget) TryWithdraw() bool {
 	if b.level < 1 {
 		return false
 	}
--- a/internal/core/limit/fleet_test.go
+++ b/internal/core/limit/fleet_test.go
@@ -23,10 +23,10 @@
 	var events []event
 	for range 20_000 {
 		b := all[min(r.IntN(instances), r.IntN(instances))] // uneven
-		b.Request()
+		b.Deposit()
 		e := event{request: 1}
 		for range r.IntN(4) {
-			if b.Retry() {
+			if b.TryWithdraw() {
 				e.retry++
 			}
 		}
@@ -45,5 +45,5 @@
 
 	small := limit.NewFleetBudget(share, slack, 1)
 	small.Resize(1000)
-	is.True(!small.Retry()) // a larger fleet leaves less than one retry to each
+	is.True(!small.TryWithdraw()) // a larger fleet leaves less than one retry to each
 }
--- a/internal/core/limit/limit.go
+++ b/internal/core/limit/limit.go
@@ -11,10 +11,10 @@
 
 // Rates are one customer's limits over the whole fleet. 0 is no limit.
 type Rates struct {
-	Requests    float64 // a second
-	Prompt      float64 // tokens a second
-	Generated   float64 // tokens a second
-	Concurrency int
+	Requests        float64 // a second
+	PromptTokens    float64 // tokens a second
+	GeneratedTokens float64 // tokens a second
+	Concurrency     int
 }
 
 // Reason names the limit that was met.
@@ -22,17 +22,17 @@
 
 // Reasons of a refusal.
 const (
-	ByRequests    Reason = "requests per second"
-	ByPrompt      Reason = "prompt tokens per second"
-	ByGenerated   Reason = "generated tokens per second"
-	ByConcurrency Reason = "concurrent requests"
+	RequestRate        Reason = "requests per second"
+	PromptTokenRate    Reason = "prompt tokens per second"
+	GeneratedTokenRate Reason = "generated tokens per second"
+	Concurrency        Reason = "concurrent requests"
 )
 
 // RefusedError says which limit was met and when to come back.
 type RefusedError struct {
-	Customer string
-	Reason   Reason
-	Wait     time.Duration
+	Customer   string
+	Reason     Reason
+	RetryAfter time.Duration
 }
 
 // Error implements error.
@@ -84,21 +84,21 @@
 // (0, 1], is this instance's part of the fleet's limits.
 func (c *Customer) Admit(r Rates, promptTokens int, share float64, now time.Time) error {
 	refuse := func(reason Reason, wait time.Duration) error {
-		return &RefusedError{Customer: c.name, Reason: reason, Wait: max(wait, time.Second)}
+		return &RefusedError{Customer: c.name, Reason: reason, RetryAfter: max(wait, time.Second)}
 	}
 	if r.Concurrency > 0 && c.running >= max(1, int(math.Ceil(float64(r.Concurrency)*share))) {
-		return refuse(ByConcurrency, time.Second)
+		return refuse(Concurrency, time.Second)
 	}
 	if r.Requests > 0 && c.requests.fill(r.Requests*share, now) < 1 {
-		return refuse(ByRequests, c.requests.wait(1, r.Requests*share))
+		return refuse(RequestRate, c.requests.wait(1, r.Requests*share))
 	}
 	// A prompt may be longer than a whole burst: it passes when the bucket is
 	// not in debt, and its debt keeps the next ones waiting.
-	if r.Prompt > 0 && c.prompt.fill(r.Prompt*share, now) <= 0 {
-		return refuse(ByPrompt, c.prompt.wait(0, r.Prompt*share))
+	if r.PromptTokens > 0 && c.prompt.fill(r.PromptTokens*share, now) <= 0 {
+		return refuse(PromptTokenRate, c.prompt.wait(0, r.PromptTokens*share))
 	}
-	if r.Generated > 0 && c.generated.fill(r.Generated*share, now) <= 0 {
-		return refuse(ByGenerated, c.generated.wait(0, r.Generated*share))
+	if r.GeneratedTokens > 0 && c.generated.fill(r.GeneratedTokens*share, now) <= 0 {
+		return refuse(GeneratedTokenRate, c.generated.wait(0, r.GeneratedTokens*share))
 	}
 	c.requests.level--
 	c.prompt.level -= float64(promptTokens)
@@ -106,14 +106,14 @@
 	return nil
 }
 
-// Generated charges tokens as they are generated.
-func (c *Customer) Generated(tokens int) { c.generated.level -= float64(tokens) }
+// GeneratedTokens charges tokens as they are generated.
+func (c *Customer) ChargeGenerated(tokens int) { c.generated.level -= float64(tokens) }
 
 // Release ends one admitted request.
 func (c *Customer) Release() { c.running-- }
 
-// Running is the number of requests admitted and not released.
-func (c *Customer) Running() int { return c.running }
+// InFlight is the number of requests admitted and not released.
+func (c *Customer) InFlight() int { return c.running }
 
 // Budget is a retry budget: a share of the requests of late may be retried,
 // so that retries never multiply the load of a sick fleet (Google SRE book,
@@ -132,14 +132,14 @@
 // NewBudget returns a budget that allows share retries a request.
 func NewBudget(share float64) *Budget { return &Budget{share: share, tokens: budgetStart} }
 
-// SetShare changes the share.
-func (b *Budget) SetShare(share float64) { b.share = share }
+// SetRatio changes the share.
+func (b *Budget) SetRatio(share float64) { b.share = share }
 
-// Request earns the share of one retry.
-func (b *Budget) Request() { b.tokens = math.Min(budgetMax, b.tokens+b.share) }
+// Deposit earns the share of one retry.
+func (b *Budget) Deposit() { b.tokens = math.Min(budgetMax, b.tokens+b.share) }
 
-// Retry spends one retry if there is one.
-func (b *Budget) Retry() bool {
+// TryWithdraw spends one retry if there is one.
+func (b *Budget) TryWithdraw() bool {
 	if b.tokens < 1 {
 		return false
 	}
--- a/internal/core/limit/limit_test.go
+++ b/internal/core/limit/limit_test.go
@@ -21,10 +21,10 @@
 		use   int // requests that pass first
 		want  limit.Reason
 	}{
-		{limit.Rates{Requests: 1}, 2, limit.ByRequests},
-		{limit.Rates{Prompt: 100}, 1, limit.ByPrompt},
-		{limit.Rates{Generated: 10}, 1, limit.ByGenerated},
-		{limit.Rates{Concurrency: 3}, 3, limit.ByConcurrency},
+		{limit.Rates{Requests: 1}, 2, limit.RequestRate},
+		{limit.Rates{PromptTokens: 100}, 1, limit.PromptTokenRate},
+		{limit.Rates{GeneratedTokens: 10}, 1, limit.GeneratedTokenRate},
+		{limit.Rates{Concurrency: 3}, 3, limit.Concurrency},
 	}
 	for _, c := range cases {
 		t.Run(string(c.want), func(t *testing.T) {
@@ -32,13 +32,13 @@
 			cust, now := limit.NewCustomer("c"), time.Unix(0, 0)
 			for range c.use {
 				is.NoErr(cust.Admit(c.rates, 1000, 1, now))
-				cust.Generated(100)
+				cust.ChargeGenerated(100)
 			}
 			var refused *limit.RefusedError
 			is.True(errors.As(cust.Admit(c.rates, 1000, 1, now), &refused))
 			is.Equal(refused.Reason, c.want)
-			is.True(refused.Wait >= time.Second)
-			if c.want == limit.ByConcurrency {
+			is.True(refused.RetryAfter >= time.Second)
+			if c.want == limit.Concurrency {
 				cust.Release()
 			}
 			is.NoErr(cust.Admit(c.rates, 1000, 1, now.Add(time.Minute)))
@@ -71,8 +71,8 @@
 	b := limit.NewBudget(0.1)
 	retries := 0
 	for range 10_000 {
-		b.Request()
-		for b.Retry() {
+		b.Deposit()
+		for b.TryWithdraw() {
 			retries++
 		}
 	}
@@ -97,7 +97,7 @@
 		now = now.Add(step)
 		for i, offered := range rates {
 			if r.Float64() < offered*step.Seconds() {
-				shares[i].Asked("c", now)
+				shares[i].RecordRequest("c", now)
 				share := shares[i].Share("c", n, now)
 				if equal { // the baseline: every instance gives out the same part
 					share = 1 / float64(n)
@@ -112,7 +112,7 @@
 			if tick%50 == i%50 {
 				for range 2 {
 					j := (i + 1 + r.IntN(n-1)) % n
-					shares[j].Told(fmt.Sprint(i), shares[i].Own(8, now), now)
+					shares[j].SetPeerDemands(fmt.Sprint(i), shares[i].TopDemands(8, now), now)
 				}
 			}
 		}
--- a/internal/core/limit/share.go
+++ b/internal/core/limit/share.go
@@ -62,8 +62,8 @@
 	return m.rate
 }
 
-// Asked notes one request of a customer, admitted or not.
-func (s *Shares) Asked(customer string, now time.Time) {
+// RecordRequest notes one request of a customer, admitted or not.
+func (s *Shares) RecordRequest(customer string, now time.Time) {
 	m := s.own[customer]
 	if m == nil {
 		m = &meter{}
@@ -72,8 +72,8 @@
 	m.add(1, now)
 }
 
-// Own returns the greatest demands here, at most n.
-func (s *Shares) Own(n int, now time.Time) []Demand {
+// TopDemands returns the greatest demands here, at most n.
+func (s *Shares) TopDemands(n int, now time.Time) []Demand {
 	var out []Demand
 	for c, m := range s.own {
 		if r := m.decay(now); r >= quietRate {
@@ -86,8 +86,8 @@
 	return out[:min(len(out), n)]
 }
 
-// Told takes another instance's demands; what it leaves out is none.
-func (s *Shares) Told(instance string, demands []Demand, now time.Time) {
+// SetPeerDemands takes another instance's demands; what it leaves out is none.
+func (s *Shares) SetPeerDemands(instance string, demands []Demand, now time.Time) {
 	p := &peerDemand{at: now, rates: map[string]float64{}}
 	for _, d := range demands {
 		if d.Rate >= 0 && !math.IsInf(d.Rate, 0) {
--- a/internal/core/place/last_resort_test.go
+++ b/internal/core/placement/last_resort_test.go
@@ -1,4 +1,4 @@
-package place
+package placement
 
 import (
 	"testing"
@@ -10,13 +10,13 @@
 // however long that one is predicted to take.
 func TestLastResort(t *testing.T) {
 	is := is.New(t)
-	slow := Target{ID: "slow", FirstMS: 5000, Runs: 100}
-	for _, last := range []Target{{ID: "resting", FirstMS: 1, Resting: true}, {ID: "dark", FirstMS: 1, Dark: true}} {
+	slow := Target{ID: "slow", FirstResponseMS: 5000, InFlight: 100}
+	for _, last := range []Target{{ID: "resting", FirstResponseMS: 1, Ejected: true}, {ID: "dark", FirstResponseMS: 1, ZoneUnreachable: true}} {
 		for _, targets := range [][]Target{{last, slow}, {slow, last}} {
-			d := Decide(targets, Query{CrowdMS: 25, Rand: func() float64 { return 0 }})
+			d := Select(targets, Query{ConcurrencyPenaltyMS: 25, Rand: func() float64 { return 0 }})
 			is.Equal(targets[d.Index].ID, "slow")
 		}
-		d := Decide([]Target{last}, Query{Rand: func() float64 { return 0 }})
+		d := Select([]Target{last}, Query{Rand: func() float64 { return 0 }})
 		is.Equal(d.Index, 0)
 	}
 }
--- a/internal/core/place/load_test.go
+++ b/internal/core/placement/load_pattern_test.go
@@ -1,4 +1,4 @@
-package place_test
+package placement_test
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/shedhoist/shedhoist/internal/core/place"
+	"github.com/shedhoist/shedhoist/internal/core/placement"
 	"github.com/shedhoist/shedhoist/internal/core/policy"
 )
 
@@ -205,22 +205,22 @@
 // decide asks Decide with what instances know: what runs and waits at each engine, not what
 // it holds in memory.
 func decide(engines []*engine, p *prompt, pol policy.Policy, rnd func() float64) int {
-	targets := make([]place.Target, len(engines))
+	targets := make([]placement.Target, len(engines))
 	for i, e := range engines {
-		t := place.Target{ID: fmt.Sprint("t", i), Zone: "z", Capacity: memory, InMemory: e.used(), Runs: len(e.runs)}
+		t := placement.Target{ID: fmt.Sprint("t", i), Zone: "z", CapacityTokens: memory, UsedTokens: e.used(), InFlight: len(e.runs)}
 		ahead := p.kind.shared + p.kind.own
 		for _, q := range e.queue {
-			t.InMemory += q.kind.shared + q.kind.own
+			t.UsedTokens += q.kind.shared + q.kind.own
 			ahead += q.kind.shared + q.kind.own
 		}
 		for _, q := range e.runs {
 			ahead += q.unread
 		}
-		t.FirstMS = float64(ahead) / readPerMS
+		t.FirstResponseMS = float64(ahead) / readPerMS
 		targets[i] = t
 	}
-	return place.Decide(targets, place.Query{Zone: "z", Rollout: 10 * time.Second, CrowdMS: 2, Rand: rnd, Policy: pol, Subject: p.subject,
-		SharedMS: float64(p.kind.shared) / readPerMS, Tokens: p.kind.shared + p.kind.own + p.kind.answer}).Index
+	return placement.Select(targets, placement.Query{Zone: "z", RolloutTimeout: 10 * time.Second, ConcurrencyPenaltyMS: 2, Rand: rnd, Policy: pol, PrefixKey: p.subject,
+		SharedPrefillMS: float64(p.kind.shared) / readPerMS, NeededTokens: p.kind.shared + p.kind.own + p.kind.answer}).Index
 }
 
 func mean(v []float64) float64 {
--- a/internal/core/place/place.go
+++ b/internal/core/placement/placement.go
@@ -2,7 +2,7 @@
 // it is sent, or that it is refused. It goes by what this instance observed of each, and
 // by what its peers told: requests under way, what these keep in the target's memory, and
 // how long it took to answer lately. It is pure.
-package place
+package placement
 
 import (
 	"math"
@@ -16,49 +16,49 @@
 
 // Target is one target as seen by the decision.
 type Target struct {
-	ID       string
-	Zone     string
-	Runs     int     // own requests under way
-	FirstMS  float64 // predicted time to the first answer, without the network
-	LinkMS   float64 // time that the request's fetch keeps a link from others
-	Excluded bool    // tried before by this request
-	Resting  bool    // failed lately
-	Unfit    bool    // does not serve the request's model
-	Dark     bool    // its zone is silent: a last resort, as if it were resting
-	Closed   bool    // cold, and bears nothing from this instance now
-	AsksRest bool    // wants no requests from this instance now, and gets none
-	// Pull is how many times more prompts than usual have their home here: a cold target takes
+	ID              string
+	Zone            string
+	InFlight        int     // own requests under way
+	FirstResponseMS float64 // predicted time to the first answer, without the network
+	LinkOccupancyMS float64 // time that the request's fetch keeps a link from others
+	Excluded        bool    // tried before by this request
+	Ejected         bool    // failed lately
+	LacksModel      bool    // does not serve the request's model
+	ZoneUnreachable bool    // its zone is silent: a last resort, as if it were resting
+	WarmupLimited   bool    // cold, and bears nothing from this instance now
+	InBackoff       bool    // wants no requests from this instance now, and gets none
+	// Weight is how many times more prompts than usual have their home here: a cold target takes
 	// them from few instances. 0 is once.
-	Pull float64
-	// BehindFor is how long newer weights than the target's have been named; 0:
+	Weight float64
+	// OutdatedFor is how long newer weights than the target's have been named; 0:
 	// it has the newest, or the request names no model.
-	BehindFor time.Duration
-	// Capacity is the target's memory, in tokens; 0: not known, or not a model server.
-	Capacity int
-	// InMemory is what all instances' runs there keep of it, in tokens.
-	InMemory int
+	OutdatedFor time.Duration
+	// CapacityTokens is the target's memory, in tokens; 0: not known, or not a model server.
+	CapacityTokens int
+	// UsedTokens is what all instances' runs there keep of it, in tokens.
+	UsedTokens int
 }
 
 // Query is the request to place.
 type Query struct {
-	Zone    string
-	Rollout time.Duration // time that a rollout may take
-	CrowdMS float64       // how much each own run at a target delays another, ms
-	Bytes   int           // of the request
-	Rand    func() float64
-	Policy  policy.Policy
-
-	// Subject names the prompt's last shared part, which selects its home; "": none.
-	Subject string
-	// KeptIn is the zone of the store that keeps this part; "": none does.
-	KeptIn string
-	// SharedMS is the time to read the prompt's shared parts.
-	SharedMS float64
-	// Tokens is what the request will keep of a target's memory.
-	Tokens int
-	// Begun says that some target worked on the request, or that its caller has a part of
+	Zone                 string
+	RolloutTimeout       time.Duration // time that a rollout may take
+	ConcurrencyPenaltyMS float64       // how much each own run at a target delays another, ms
+	RequestBytes         int           // of the request
+	Rand                 func() float64
+	Policy               policy.Policy
+
+	// PrefixKey names the prompt's last shared part, which selects its home; "": none.
+	PrefixKey string
+	// StoreZone is the zone of the store that keeps this part; "": none does.
+	StoreZone string
+	// SharedPrefillMS is the time to read the prompt's shared parts.
+	SharedPrefillMS float64
+	// NeededTokens is what the request will keep of a target's memory.
+	NeededTokens int
+	// Started says that some target worked on the request, or that its caller has a part of
 	// the answer: it is not refused any more.
-	Begun bool
+	Started bool
 }
 
 // Action is what becomes of a request.
@@ -66,19 +66,19 @@
 
 // Actions.
 const (
-	Send   Action = iota
-	Refuse        // at once: every target that could take it is full
-	None          // no target may be used
+	Send     Action = iota
+	Refuse          // at once: every target that could take it is full
+	NoTarget        // no target may be used
 )
 
 // Decision is what becomes of a request, with what decided it.
 type Decision struct {
-	Action Action
-	Index  int // of the target, if it is sent; -1 else
-	Full   int // targets that could take it but for their memory
-	Closed int // targets left out since they are cold
-	// AskRest is how many targets that could take it are left out since they ask for rest.
-	AskRest int
+	Action        Action
+	Index         int // of the target, if it is sent; -1 else
+	FullTargets   int // targets that could take it but for their memory
+	WarmupLimited int // targets left out since they are cold
+	// InBackoff is how many targets that could take it are left out since they ask for rest.
+	InBackoff int
 	// FreeTokens is the most that a full target has left.
 	FreeTokens int
 }
@@ -109,7 +109,7 @@
 	rolloutMargin = time.Second
 )
 
-// Decide chooses the best target.
+// Select chooses the best target.
 //
 // A target whose memory is full gets nothing new. What is sent there all the same takes
 // the memory of runs and of cached parts, which are then read again: reading delays every
@@ -120,33 +120,33 @@
 //
 // A target that asks for rest gets nothing at all, also if there is no other: each request that
 // it turns away takes of what it needs to recover.
-func Decide(targets []Target, q Query) Decision {
-	d := Decision{Action: None, Index: -1}
+func Select(targets []Target, q Query) Decision {
+	d := Decision{Action: NoTarget, Index: -1}
 	home := -1
-	if q.Policy.Homes && q.Subject != "" {
-		home = homeOf(targets, q.Subject, q.KeptIn)
+	if q.Policy.Homes && q.PrefixKey != "" {
+		home = homeOf(targets, q.PrefixKey, q.StoreZone)
 	}
 	low, rests := math.Inf(1), false
 	for i := range targets {
 		t := &targets[i]
-		if t.Closed {
-			d.Closed++
+		if t.WarmupLimited {
+			d.WarmupLimited++
 		}
-		if t.AsksRest {
+		if t.InBackoff {
 			if usable(t, q) {
-				d.AskRest++
+				d.InBackoff++
 			}
 			continue
 		}
-		if t.Excluded || t.Closed || !usable(t, q) {
+		if t.Excluded || t.WarmupLimited || !usable(t, q) {
 			continue
 		}
 		full := q.Policy.Admission && t.full(q)
 		if full && !t.lastResort() {
-			d.Full++
-			d.FreeTokens = max(d.FreeTokens, t.Capacity-t.InMemory)
+			d.FullTargets++
+			d.FreeTokens = max(d.FreeTokens, t.CapacityTokens-t.UsedTokens)
 		}
-		if full && !q.Begun {
+		if full && !q.Started {
 			continue
 		}
 		s := score(t, q, i != home && home >= 0)
@@ -158,27 +158,27 @@
 			d.Action, d.Index, low, rests = Send, i, s, last
 		}
 	}
-	if d.Full > 0 && !q.Begun && (d.Index < 0 || rests) {
+	if d.FullTargets > 0 && !q.Started && (d.Index < 0 || rests) {
 		d.Action, d.Index = Refuse, -1
 	}
 	return d
 }
 
 // lastResort says whether the target is used only if there is no other.
-func (t *Target) lastResort() bool { return t.Resting || t.Dark }
+func (t *Target) lastResort() bool { return t.Ejected || t.ZoneUnreachable }
 
 // barred says whether the target gets nothing now, whatever the request.
-func (t *Target) barred() bool { return t.Closed || t.AsksRest }
+func (t *Target) barred() bool { return t.WarmupLimited || t.InBackoff }
 
 // full says whether the request would need more of the target's memory than is left.
 func (t *Target) full(q Query) bool {
-	return t.Capacity > 0 && t.InMemory > 0 && t.InMemory+q.Tokens > t.Capacity
+	return t.CapacityTokens > 0 && t.UsedTokens > 0 && t.UsedTokens+q.NeededTokens > t.CapacityTokens
 }
 
 // usable rules out a target without the model, and at the end of a rollout's
 // time those with old weights.
 func usable(t *Target, q Query) bool {
-	return !t.Unfit && (t.BehindFor == 0 || t.BehindFor < q.Rollout-rolloutMargin)
+	return !t.LacksModel && (t.OutdatedFor == 0 || t.OutdatedFor < q.RolloutTimeout-rolloutMargin)
 }
 
 // homeOf is the index of a prompt's home among the targets that serve its model: by
@@ -188,15 +188,15 @@
 // link from others meanwhile, which is what is short in a large fleet. Returns -1 if there
 // is none.
 func homeOf(targets []Target, subject, zone string) int {
-	near := func(t Target) bool { return t.Zone == zone && !t.Unfit && !t.barred() && !t.lastResort() }
+	near := func(t Target) bool { return t.Zone == zone && !t.LacksModel && !t.barred() && !t.lastResort() }
 	anywhere := zone == "" || !slices.ContainsFunc(targets, near)
 	best, top := -1, 0.0
 	seed := xxhash.Sum64String(subject)
 	for i := range targets {
-		if targets[i].Unfit || targets[i].barred() || targets[i].Dark || !(anywhere || targets[i].Zone == zone) {
+		if targets[i].LacksModel || targets[i].barred() || targets[i].ZoneUnreachable || !(anywhere || targets[i].Zone == zone) {
 			continue
 		}
-		if h := pulled(mix(seed^xxhash.Sum64String(targets[i].ID)), targets[i].Pull); best < 0 || h > top {
+		if h := pulled(mix(seed^xxhash.Sum64String(targets[i].ID)), targets[i].Weight); best < 0 || h > top {
 			best, top = i, h
 		}
 	}
@@ -221,17 +221,17 @@
 // score is the predicted time to an answer, in ms, weighted by what else the
 // choice costs.
 func score(t *Target, q Query, away bool) float64 {
-	s := math.Max(t.FirstMS, 1) + q.CrowdMS*float64(t.Runs)
+	s := math.Max(t.FirstResponseMS, 1) + q.ConcurrencyPenaltyMS*float64(t.InFlight)
 	if q.Policy.LinkWeight {
-		s += linkWeight * t.LinkMS
+		s += linkWeight * t.LinkOccupancyMS
 	}
 	if away {
-		s += awayWeight * q.SharedMS
+		s += awayWeight * q.SharedPrefillMS
 	}
 	if t.Zone != q.Zone {
-		s += otherZoneMS + otherZoneKBMS*float64(q.Bytes)/1024
+		s += otherZoneMS + otherZoneKBMS*float64(q.RequestBytes)/1024
 	}
-	if q.Policy.OldWeights && t.BehindFor >= oldGrace {
+	if q.Policy.OldWeights && t.OutdatedFor >= oldGrace {
 		s *= oldWeights
 	}
 	if !q.Policy.Spread {
--- /dev/null
+++ b/internal/core/placement/placement_test.go
@@ -0,0 +1,160 @@
+package placement_test
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/shedhoist/shedhoist/internal/core/placement"
+	"github.com/shedhoist/shedhoist/internal/core/policy"
+)
+
+// TestSelect is a table of two targets, the second of which is changed.
+func TestSelect(t *testing.T) {
+	query := placement.Query{Zone: "a", RolloutTimeout: 10 * time.Second, ConcurrencyPenaltyMS: 20, Rand: func() float64 { return 0.5 }, Policy: policy.Default()}
+	base := placement.Target{ID: "x", Zone: "a", FirstResponseMS: 50}
+	cases := []struct {
+		name   string
+		change func(x, y *placement.Target)
+		want   int
+	}{
+		{"fewer own requests", func(x, _ *placement.Target) { x.InFlight = 1 }, 1},
+		{"faster", func(x, _ *placement.Target) { x.FirstResponseMS = 100 }, 1},
+		{"the nearer store", func(x, _ *placement.Target) { x.LinkOccupancyMS = 50 }, 1},
+		{"own zone", func(x, _ *placement.Target) { x.Zone = "b" }, 1},
+		{"another zone rather than a queue", func(x, y *placement.Target) { x.InFlight, y.Zone = 1, "b" }, 1},
+		{"new weights", func(x, _ *placement.Target) { x.OutdatedFor = 2 * time.Second }, 1},
+		{"old weights rather than a long queue", func(x, y *placement.Target) { x.InFlight, y.OutdatedFor = 5, 2*time.Second }, 1},
+		{"old weights are as good at first", func(x, y *placement.Target) { x.InFlight, y.OutdatedFor = 1, 1 }, 1},
+		{"no old weights at the end of a rollout", func(x, y *placement.Target) { x.InFlight, y.OutdatedFor = 50, 9*time.Second }, 0},
+		{"nothing left", func(x, y *placement.Target) { x.OutdatedFor, y.OutdatedFor = time.Minute, time.Minute }, -1},
+		{"no model", func(x, _ *placement.Target) { x.LacksModel = true }, 1},
+		{"not tried", func(x, _ *placement.Target) { x.Excluded = true }, 1},
+		{"resting is the last resort", func(x, y *placement.Target) { x.Ejected, y.InFlight = true, 90 }, 1},
+		{"but better than none", func(x, y *placement.Target) { x.Ejected, y.Excluded = true, true }, 0},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			x, y := base, base
+			y.ID = "y"
+			c.change(&x, &y)
+			is.New(t).Equal(placement.Select([]placement.Target{x, y}, query).Index, c.want)
+		})
+	}
+}
+
+// TestFull: a target whose memory is full gets nothing new. A request that all would have
+// to squeeze in is refused, unless some target has worked on it before, and never for the
+// sake of targets that rest, behind or elsewhere.
+func TestFull(t *testing.T) {
+	query := placement.Query{Zone: "a", RolloutTimeout: 10 * time.Second, NeededTokens: 3000, Rand: func() float64 { return 0.5 }, Policy: policy.Default()}
+	base := placement.Target{Zone: "a", FirstResponseMS: 50, CapacityTokens: 10_000, UsedTokens: 8000}
+	cases := []struct {
+		name   string
+		change func(x, y *placement.Target, q *placement.Query)
+		want   placement.Action
+		index  int
+	}{
+		{"all are full", func(x, y *placement.Target, q *placement.Query) {}, placement.Refuse, -1},
+		{"one has room, though it is slower", func(x, y *placement.Target, q *placement.Query) { y.UsedTokens, y.FirstResponseMS = 7000, 900 }, placement.Send, 1},
+		{"a small request finds room", func(x, y *placement.Target, q *placement.Query) { q.NeededTokens = 2000 }, placement.Send, 0},
+		{"some target worked on it", func(x, y *placement.Target, q *placement.Query) { q.Started, x.FirstResponseMS = true, 60 }, placement.Send, 1},
+		{"one that has room goes before a full one", func(x, y *placement.Target, q *placement.Query) {
+			q.Started, y.UsedTokens, y.FirstResponseMS = true, 0, 900
+		}, placement.Send, 1},
+		{"larger than a whole memory", func(x, y *placement.Target, q *placement.Query) { x.UsedTokens, q.NeededTokens = 0, 11_000 }, placement.Send, 0},
+		{"memory not known", func(x, y *placement.Target, q *placement.Query) { x.CapacityTokens = 0 }, placement.Send, 0},
+		{"the one with room rests", func(x, y *placement.Target, q *placement.Query) { y.UsedTokens, y.Ejected = 0, true }, placement.Refuse, -1},
+		{"all rest", func(x, y *placement.Target, q *placement.Query) { x.Ejected, y.Ejected, y.UsedTokens = true, true, 0 }, placement.Send, 1},
+		{"the other serves no such model", func(x, y *placement.Target, q *placement.Query) { y.LacksModel = true }, placement.Refuse, -1},
+		{"the full one was tried", func(x, y *placement.Target, q *placement.Query) { x.Excluded, y.LacksModel = true, true }, placement.NoTarget, -1},
+		{"switched off", func(x, y *placement.Target, q *placement.Query) { q.Policy.Admission = false }, placement.Send, 0},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			is := is.New(t)
+			x, y, q := base, base, query
+			x.ID, y.ID = "x", "y"
+			c.change(&x, &y, &q)
+			d := placement.Select([]placement.Target{x, y}, q)
+			is.Equal(d.Action, c.want)
+			is.Equal(d.Index, c.index)
+			if d.Action == placement.Refuse {
+				is.True(d.FullTargets > 0)
+				is.Equal(d.FreeTokens, 2000)
+			}
+		})
+	}
+}
+
+// TestHomes: each subject has one home, which follows from the names alone whatever the
+// order; homes are spread over the targets; the loss of one moves only its own subjects;
+// a home that is much busier than another target passes work on.
+func TestHomes(t *testing.T) {
+	is := is.New(t)
+	query := placement.Query{Zone: "a", RolloutTimeout: 10 * time.Second, SharedPrefillMS: 100, Rand: func() float64 { return 0 }, Policy: policy.Default()}
+	var all []placement.Target
+	for i := range 10 {
+		all = append(all, placement.Target{ID: fmt.Sprint("t", i), Zone: "a", FirstResponseMS: 50})
+	}
+	home := func(targets []placement.Target, subject int) string {
+		q := query
+		q.PrefixKey = fmt.Sprint("s", subject)
+		return targets[placement.Select(targets, q).Index].ID
+	}
+	count := map[string]int{}
+	moved := 0
+	for s := range 1000 {
+		at := home(all, s)
+		count[at]++
+		reversed := slices.Clone(all)
+		slices.Reverse(reversed)
+		is.Equal(home(reversed, s), at)
+		if left := home(all[1:], s); at != all[0].ID && left != at {
+			moved++
+		}
+	}
+	is.Equal(moved, 0)
+	for _, n := range count {
+		is.True(n > 60 && n < 140) // 100 of 1000 each, binomial deviation 10
+	}
+	busy := slices.Clone(all)
+	for i := range busy {
+		if busy[i].ID == home(all, 1) {
+			busy[i].FirstResponseMS = 250
+		}
+	}
+	is.True(home(busy, 1) != home(all, 1))
+}
+
+// TestHomeZone: a prompt that a store keeps has its home in that store's zone, whatever the
+// zone of the instance, as long as a target there is well.
+func TestHomeZone(t *testing.T) {
+	is := is.New(t)
+	query := placement.Query{Zone: "a", StoreZone: "b", RolloutTimeout: 10 * time.Second, SharedPrefillMS: 100, Rand: func() float64 { return 0 }, Policy: policy.Default()}
+	var all []placement.Target
+	for i := range 10 {
+		all = append(all, placement.Target{ID: fmt.Sprint("t", i), Zone: []string{"a", "b"}[i%2], FirstResponseMS: 50})
+	}
+	homes := func() map[string]int {
+		out := map[string]int{}
+		for s := range 100 {
+			query.PrefixKey = fmt.Sprint("s", s)
+			out[all[placement.Select(all, query).Index].Zone]++
+		}
+		return out
+	}
+	is.Equal(homes(), map[string]int{"b": 100})
+	for i := range all {
+		all[i].Ejected = all[i].Zone == "b"
+	}
+	is.Equal(homes(), map[string]int{"a": 100})
+	query.StoreZone = ""
+	for i := range all {
+		all[i].Ejected = false
+	}
+	is.Equal(len(homes()), 2)
+}
--- a/internal/core/place/predict.go
+++ b/internal/core/placement/predict.go
@@ -1,17 +1,17 @@
-package place
+package placement
 
 import (
 	"math"
 	"time"
 )
 
-// Work is what one request asks of a target before its first answer.
-type Work struct {
-	ReadTokens int // prompt tokens that the target must read
-	// AheadTokens are those of other requests that it must read before.
-	AheadTokens int
-	FetchMS     float64 // nominal time to fetch the rest, by link speed alone; 0: nothing is fetched
-	Link        string  // where it is fetched from
+// PrefillWork is what one request asks of a target before its first answer.
+type PrefillWork struct {
+	PrefillTokens int // prompt tokens that the target must read
+	// QueuedTokens are those of other requests that it must read before.
+	QueuedTokens int
+	FetchMS      float64 // nominal time to fetch the rest, by link speed alone; 0: nothing is fetched
+	Link         string  // where it is fetched from
 }
 
 // Predictor predicts the time to a request's first answer. It knows nominal
@@ -28,16 +28,16 @@
 }
 
 // waiting is the requests that wait for their first answer, by what they wait for.
-type waiting map[string]map[*Ticket]struct{}
+type waiting map[string]map[*PendingRequest]struct{}
 
-func (w waiting) add(name string, t *Ticket) {
+func (w waiting) add(name string, t *PendingRequest) {
 	if w[name] == nil {
-		w[name] = map[*Ticket]struct{}{}
+		w[name] = map[*PendingRequest]struct{}{}
 	}
 	w[name][t] = struct{}{}
 }
 
-func (w waiting) drop(name string, t *Ticket) {
+func (w waiting) drop(name string, t *PendingRequest) {
 	delete(w[name], t)
 	if len(w[name]) == 0 {
 		delete(w, name)
@@ -50,10 +50,10 @@
 	at time.Time
 }
 
-// Ticket is a request that waits for its first answer.
-type Ticket struct {
+// PendingRequest is a request that waits for its first answer.
+type PendingRequest struct {
 	target    string
-	work      Work
+	work      PrefillWork
 	began     time.Time
 	predicted float64 // ms
 }
@@ -92,8 +92,8 @@
 	return d.ms * math.Exp2(-float64(at.Sub(d.at))/float64(delayHalfLife))
 }
 
-// Target is the delay expected at a target.
-func (p *Predictor) Target(id string, now time.Time) float64 {
+// TargetDelay is the delay expected at a target.
+func (p *Predictor) TargetDelay(id string, now time.Time) float64 {
 	out := p.targets[id].now(now)
 	for t := range p.waiting[id] {
 		out = math.Max(out, t.overdue(now)*t.targetPart())
@@ -102,20 +102,20 @@
 }
 
 // overdue is how much longer than predicted a request has waited, ms.
-func (t *Ticket) overdue(now time.Time) float64 {
+func (t *PendingRequest) overdue(now time.Time) float64 {
 	return float64(now.Sub(t.began))/float64(time.Millisecond) - t.predicted
 }
 
 // targetPart is the part of a surprise that is put down to the target.
-func (t *Ticket) targetPart() float64 {
+func (t *PendingRequest) targetPart() float64 {
 	if t.work.FetchMS > 0 {
 		return 1 - linkPart
 	}
 	return 1
 }
 
-// Fetch is the time expected for a fetch.
-func (p *Predictor) Fetch(w Work, now time.Time) float64 {
+// FetchTime is the time expected for a fetch.
+func (p *Predictor) FetchTime(w PrefillWork, now time.Time) float64 {
 	if w.FetchMS <= 0 {
 		return 0
 	}
@@ -126,20 +126,22 @@
 	return w.FetchMS + late
 }
 
-// Read is the time expected for reading tokens on an idle target.
-func (p *Predictor) Read(tokens int) float64 { return float64(tokens) * p.readMS }
+// PrefillTime is the time expected for reading tokens on an idle target.
+func (p *Predictor) PrefillTime(tokens int) float64 { return float64(tokens) * p.readMS }
 
-// First is the time expected from sending a request until its first answer.
-func (p *Predictor) First(id string, w Work, now time.Time) float64 {
-	return p.Target(id, now) + p.Fetch(w, now) + p.Read(w.ReadTokens+w.AheadTokens)
+// FirstResponseTime is the time expected from sending a request until its first answer.
+func (p *Predictor) FirstResponseTime(id string, w PrefillWork, now time.Time) float64 {
+	return p.TargetDelay(id, now) + p.FetchTime(w, now) + p.PrefillTime(w.PrefillTokens+w.QueuedTokens)
 }
 
-// Nominal is First for a target and a link that are as fast as they should be.
-func (p *Predictor) Nominal(w Work) float64 { return w.FetchMS + p.Read(w.ReadTokens+w.AheadTokens) }
+// NominalTime is First for a target and a link that are as fast as they should be.
+func (p *Predictor) NominalTime(w PrefillWork) float64 {
+	return w.FetchMS + p.PrefillTime(w.PrefillTokens+w.QueuedTokens)
+}
 
-// Begin notes a request that is sent now.
-func (p *Predictor) Begin(id string, w Work, now time.Time) *Ticket {
-	t := &Ticket{target: id, work: w, began: now, predicted: p.First(id, w, now)}
+// Start notes a request that is sent now.
+func (p *Predictor) Start(id string, w PrefillWork, now time.Time) *PendingRequest {
+	t := &PendingRequest{target: id, work: w, began: now, predicted: p.FirstResponseTime(id, w, now)}
 	p.waiting.add(id, t)
 	if w.FetchMS > 0 {
 		p.fetches.add(w.Link, t)
@@ -147,21 +149,21 @@
 	return t
 }
 
-// Drop forgets a request that ended without an answer, or was answered.
-func (p *Predictor) Drop(t *Ticket) {
+// Remove forgets a request that ended without an answer, or was answered.
+func (p *Predictor) Remove(t *PendingRequest) {
 	p.waiting.drop(t.target, t)
 	p.fetches.drop(t.work.Link, t)
 }
 
 // Observe takes a request's first answer, and returns how much of the time it
 // took was not predicted, ms.
-func (p *Predictor) Observe(t *Ticket, now time.Time) (surprise float64) {
-	p.Drop(t)
+func (p *Predictor) Observe(t *PendingRequest, now time.Time) (surprise float64) {
+	p.Remove(t)
 	w, id := t.work, t.target
 	surprise = t.overdue(now)
 	ms := surprise + t.predicted
-	if w.ReadTokens >= leastRead && w.FetchMS <= 0 && w.AheadTokens == 0 {
-		p.learnRead(ms / float64(w.ReadTokens))
+	if w.PrefillTokens >= leastRead && w.FetchMS <= 0 && w.QueuedTokens == 0 {
+		p.learnRead(ms / float64(w.PrefillTokens))
 	}
 	if w.FetchMS > 0 {
 		p.links[w.Link] = p.links[w.Link].after(surprise*linkPart, now)
@@ -187,8 +189,8 @@
 	return &delay{ms: math.Max(d.now(now)+gain*surprise, 0), at: now}
 }
 
-// Keep forgets the targets and links that keep does not name.
-func (p *Predictor) Keep(keep func(name string) bool) {
+// Retain forgets the targets and links that keep does not name.
+func (p *Predictor) Retain(keep func(name string) bool) {
 	for _, m := range [...]map[string]*delay{p.targets, p.links} {
 		for name := range m {
 			if !keep(name) {
--- a/internal/core/place/predict_test.go
+++ b/internal/core/placement/predict_test.go
@@ -1,4 +1,4 @@
-package place_test
+package placement_test
 
 import (
 	"math"
@@ -8,7 +8,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/shedhoist/shedhoist/internal/core/place"
+	"github.com/shedhoist/shedhoist/internal/core/placement"
 )
 
 // TestPredictor: over targets and links of hidden speeds and queues, the
@@ -17,21 +17,21 @@
 func TestPredictor(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(3, 4))
-	p := place.NewPredictor()
+	p := placement.NewPredictor()
 	now := time.Unix(0, 0)
 	targets, links := []string{"a", "b", "slow"}, []string{"x", "thin"}
 	const readMS = 0.0176
 	round := func(slowMS, thinMS float64) {
 		for range 600 {
 			now = now.Add(20 * time.Millisecond)
-			id, w := targets[r.IntN(3)], place.Work{ReadTokens: 200 + r.IntN(8000)}
-			ms := float64(w.ReadTokens)*readMS + 10*r.Float64()
+			id, w := targets[r.IntN(3)], placement.PrefillWork{PrefillTokens: 200 + r.IntN(8000)}
+			ms := float64(w.PrefillTokens)*readMS + 10*r.Float64()
 			if id == "slow" {
 				ms += slowMS
 			}
 			if r.IntN(2) == 0 {
-				w.FetchMS, w.Link, w.ReadTokens = 30, links[r.IntN(2)], 1500
-				ms = float64(w.ReadTokens)*readMS + w.FetchMS
+				w.FetchMS, w.Link, w.PrefillTokens = 30, links[r.IntN(2)], 1500
+				ms = float64(w.PrefillTokens)*readMS + w.FetchMS
 				if id == "slow" {
 					ms += slowMS
 				}
@@ -39,17 +39,17 @@
 					ms += thinMS
 				}
 			}
-			ticket := p.Begin(id, w, now)
+			ticket := p.Start(id, w, now)
 			p.Observe(ticket, now.Add(time.Duration(ms*float64(time.Millisecond))))
 		}
 	}
 	round(200, 300)
-	is.True(math.Abs(p.Read(1000)-1000*readMS) < 5)
-	is.True(p.Target("slow", now) > p.Target("a", now)+60)
-	fetch := func(link string) float64 { return p.Fetch(place.Work{FetchMS: 30, Link: link}, now) }
+	is.True(math.Abs(p.PrefillTime(1000)-1000*readMS) < 5)
+	is.True(p.TargetDelay("slow", now) > p.TargetDelay("a", now)+60)
+	fetch := func(link string) float64 { return p.FetchTime(placement.PrefillWork{FetchMS: 30, Link: link}, now) }
 	is.True(fetch("thin") > fetch("x")+100)
 	round(0, 0)
-	is.True(p.Target("slow", now) < 40)
+	is.True(p.TargetDelay("slow", now) < 40)
 	is.True(fetch("thin") < 80)
 }
 
@@ -57,32 +57,32 @@
 // requests since it was slow is tried again.
 func TestForget(t *testing.T) {
 	is := is.New(t)
-	p := place.NewPredictor()
+	p := placement.NewPredictor()
 	now := time.Unix(0, 0)
-	p.Observe(p.Begin("a", place.Work{}, now), now.Add(time.Second))
+	p.Observe(p.Start("a", placement.PrefillWork{}, now), now.Add(time.Second))
 	now = now.Add(time.Second)
-	before := p.Target("a", now)
+	before := p.TargetDelay("a", now)
 	is.True(before > 300)
-	is.True(p.Target("a", now.Add(6*time.Second)) < before/3)
-	p.Keep(func(string) bool { return false })
-	is.Equal(p.Target("a", now), 0.0)
+	is.True(p.TargetDelay("a", now.Add(6*time.Second)) < before/3)
+	p.Retain(func(string) bool { return false })
+	is.Equal(p.TargetDelay("a", now), 0.0)
 }
 
 // TestOverdue: a target or a link that stays silent is distrusted before it
 // answers, and at once no longer when the request is dropped.
 func TestOverdue(t *testing.T) {
 	is := is.New(t)
-	p := place.NewPredictor()
+	p := placement.NewPredictor()
 	now := time.Unix(0, 0)
-	fetch := place.Work{FetchMS: 30, Link: "x"}
-	silent, stuck := p.Begin("a", place.Work{}, now), p.Begin("b", fetch, now)
+	fetch := placement.PrefillWork{FetchMS: 30, Link: "x"}
+	silent, stuck := p.Start("a", placement.PrefillWork{}, now), p.Start("b", fetch, now)
 	later := now.Add(500 * time.Millisecond)
-	is.True(p.Target("a", later) > 400)
-	is.True(p.Fetch(fetch, later) > 250)
-	is.True(p.Target("b", later) < p.Target("a", later))
-	is.Equal(p.Target("c", later), 0.0)
-	p.Drop(silent)
-	p.Drop(stuck)
-	is.Equal(p.Target("a", later), 0.0)
-	is.Equal(p.Fetch(fetch, later), 30.0)
+	is.True(p.TargetDelay("a", later) > 400)
+	is.True(p.FetchTime(fetch, later) > 250)
+	is.True(p.TargetDelay("b", later) < p.TargetDelay("a", later))
+	is.Equal(p.TargetDelay("c", later), 0.0)
+	p.Remove(silent)
+	p.Remove(stuck)
+	is.Equal(p.TargetDelay("a", later), 0.0)
+	is.Equal(p.FetchTime(fetch, later), 30.0)
 }
--- a/internal/core/place/cold_test.go
+++ b/internal/core/placement/warmup_test.go
@@ -1,4 +1,4 @@
-package place_test
+package placement_test
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/shedhoist/shedhoist/internal/core/place"
+	"github.com/shedhoist/shedhoist/internal/core/placement"
 	"github.com/shedhoist/shedhoist/internal/core/policy"
 )
 
@@ -14,10 +14,10 @@
 // instances alone.
 
 // homeAt is where an instance places a prompt with a subject, if all else is alike.
-func homeAt(targets []place.Target, subject string) int {
+func homeAt(targets []placement.Target, subject string) int {
 	p := policy.Default()
 	p.Spread = false
-	return place.Decide(targets, place.Query{Subject: subject, SharedMS: 100, Policy: p, Rand: func() float64 { return 0 }}).Index
+	return placement.Select(targets, placement.Query{PrefixKey: subject, SharedPrefillMS: 100, Policy: p, Rand: func() float64 { return 0 }}).Index
 }
 
 // TestColdTargetsGetTheirShare: of 71 instances before 60 targets each cold target is used by
@@ -27,12 +27,12 @@
 	const instances, targets, cold, senders, prompts = 71, 60, 20, 12, 400
 	got := make([]int, targets)
 	for instance := range instances {
-		options := make([]place.Target, targets)
+		options := make([]placement.Target, targets)
 		for i := range options {
-			options[i] = place.Target{ID: fmt.Sprint("t-", i), FirstMS: 50}
+			options[i] = placement.Target{ID: fmt.Sprint("t-", i), FirstResponseMS: 50}
 			if i < cold {
-				options[i].Closed = (instance+i*senders)%instances >= senders
-				options[i].Pull = float64(instances) / senders
+				options[i].WarmupLimited = (instance+i*senders)%instances >= senders
+				options[i].Weight = float64(instances) / senders
 			}
 		}
 		for p := range prompts {
@@ -55,18 +55,18 @@
 // TestHomesStay: where some targets are cold the prompts of all others stay where they are.
 func TestHomesStay(t *testing.T) {
 	is := is.New(t)
-	options := make([]place.Target, 30)
+	options := make([]placement.Target, 30)
 	for i := range options {
-		options[i] = place.Target{ID: fmt.Sprint("t-", i), FirstMS: 50}
+		options[i] = placement.Target{ID: fmt.Sprint("t-", i), FirstResponseMS: 50}
 	}
 	for p := range 300 {
 		subject := fmt.Sprint("subject ", p)
 		home := homeAt(options, subject)
-		closed := make([]place.Target, len(options))
+		closed := make([]placement.Target, len(options))
 		copy(closed, options)
-		closed[(home+1)%len(closed)].Closed = true
+		closed[(home+1)%len(closed)].WarmupLimited = true
 		is.Equal(homeAt(closed, subject), home)
-		closed[home].Closed = true
+		closed[home].WarmupLimited = true
 		is.True(homeAt(closed, subject) != home)
 	}
 }
--- a/internal/core/fresh/fresh.go
+++ b/internal/core/staleness/staleness.go
@@ -3,7 +3,7 @@
 //
 // Invariant: a Book calls a copy complete as of a moment only if the object store was asked
 // at that moment or later, by this instance or another, and had no change that the copy lacks.
-package fresh
+package staleness
 
 import (
 	"sync"
@@ -27,18 +27,18 @@
 	return [...]string{"configuration", "targets", "weight versions", "evacuated zones"}[k]
 }
 
-// Word is what an instance tells of one kind.
-type Word struct {
+// Report is what an instance tells of one kind.
+type Report struct {
 	_ struct{} `cbor:",toarray"`
-	// Newest numbers the last change that the object store had.
-	Newest uint64
+	// NewestRevision numbers the last change that the object store had.
+	NewestRevision uint64
 	// AgeMS is how long ago it was asked, by the teller's clock.
 	AgeMS int64
 }
 
-// Book keeps the ages. The zero value knows nothing. It is safe for use by several
+// Tracker keeps the ages. The zero value knows nothing. It is safe for use by several
 // goroutines.
-type Book struct {
+type Tracker struct {
 	mu    sync.Mutex
 	pages [kinds]page
 }
@@ -58,7 +58,7 @@
 }
 
 // Confirm notes that the object store, asked at that time, had no change after newest.
-func (b *Book) Confirm(k Kind, newest uint64, asked time.Time) {
+func (b *Tracker) Confirm(k Kind, newest uint64, asked time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := &b.pages[k]
@@ -68,8 +68,8 @@
 	}
 }
 
-// Have notes up to which change the copy is complete.
-func (b *Book) Have(k Kind, have uint64) {
+// SetCopyRevision notes up to which change the copy is complete.
+func (b *Tracker) SetCopyRevision(k Kind, have uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := &b.pages[k]
@@ -80,21 +80,21 @@
 }
 
 // Age is how long ago the copy was known to be complete; known is false if it never was.
-func (b *Book) Age(k Kind, now time.Time) (age time.Duration, known bool) {
+func (b *Tracker) Age(k Kind, now time.Time) (age time.Duration, known bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := &b.pages[k]
 	return now.Sub(p.complete), !p.complete.IsZero()
 }
 
-// Words is what is told to others, in the order of kinds; nil before anything is known.
-func (b *Book) Words(now time.Time) []Word {
+// Reports is what is told to others, in the order of kinds; nil before anything is known.
+func (b *Tracker) Reports(now time.Time) []Report {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := make([]Word, kinds)
+	out := make([]Report, kinds)
 	some := false
 	for i, p := range b.pages {
-		out[i] = Word{Newest: p.newest, AgeMS: unknownAge}
+		out[i] = Report{NewestRevision: p.newest, AgeMS: unknownAge}
 		if !p.asked.IsZero() {
 			out[i].AgeMS = now.Sub(p.asked).Milliseconds() + 1 // rounded up
 			some = true
@@ -109,13 +109,13 @@
 // unknownAge stands for an age that the teller does not know.
 const unknownAge = -1
 
-// Take takes the words of another that was asked for them at that time. The time at which
+// Merge takes the words of another that was asked for them at that time. The time at which
 // the answer came would not do: words go round, and each round would make them younger by
 // what they were under way. Words of further kinds, from a newer program, are left out.
-func (b *Book) Take(words []Word, asked time.Time) {
+func (b *Tracker) Merge(words []Report, asked time.Time) {
 	for i, w := range words {
 		if i < int(kinds) && w.AgeMS >= 0 {
-			b.Confirm(Kind(i), w.Newest, asked.Add(-time.Duration(w.AgeMS)*time.Millisecond))
+			b.Confirm(Kind(i), w.NewestRevision, asked.Add(-time.Duration(w.AgeMS)*time.Millisecond))
 		}
 	}
 }
--- a/internal/core/cold/cold.go
+++ b/internal/core/warmup/warmup.go
@@ -6,7 +6,7 @@
 // Invariant: no more than Share.Quota requests of one instance reach a target in any second.
 // Those of the chosen ones add up to usedShare of the limit. The rest is for instances that
 // take themselves to be chosen as well, since they do not know all others.
-package cold
+package warmup
 
 import (
 	"math"
@@ -27,39 +27,39 @@
 	window = time.Second + 20*time.Millisecond
 )
 
-// Share is how what a target bears is divided.
-type Share struct {
+// Allocation is how what a target bears is divided.
+type Allocation struct {
 	Senders int // instances that may send to it
 	Quota   int // requests that each may send in a second
 }
 
-// ShareOf divides a limit, in requests a second, among so many instances: to as many as
+// Allocate divides a limit, in requests a second, among so many instances: to as many as
 // possible, so that what one takes wrongly is little, and callers of most can use the target.
-func ShareOf(limit float64, instances int) Share {
+func Allocate(limit float64, instances int) Allocation {
 	used := int(math.Floor(limit * usedShare))
-	s := Share{Senders: min(used, max(instances, 1))}
+	s := Allocation{Senders: min(used, max(instances, 1))}
 	if s.Senders > 0 {
 		s.Quota = min(used/s.Senders, mostQuota)
 	}
 	return s
 }
 
-// Pull is how many times more than an instance that is not chosen a chosen one must send to the
+// Weight is how many times more than an instance that is not chosen a chosen one must send to the
 // target, for it to get as much as others do.
-func (s Share) Pull(instances int) float64 {
+func (s Allocation) Weight(instances int) float64 {
 	return float64(max(instances, 1)) / float64(max(s.Senders, 1))
 }
 
-// Chosen says whether an instance is among those that may send to a target while it is cold:
+// IsSender says whether an instance is among those that may send to a target while it is cold:
 // the first of all that are known by rendezvous hashing. Instances that know more, or fewer,
 // choose nearly the same ones.
-func (s Share) Chosen(target, self string, known []string) bool {
+func (s Allocation) IsSender(target, self string, known []string) bool {
 	return rendezvous.Rank(known, self, target) < s.Senders
 }
 
-// Gate counts what one instance sends to cold targets. The zero value is ready. It is safe
+// Limiter counts what one instance sends to cold targets. The zero value is ready. It is safe
 // for use by several goroutines.
-type Gate struct {
+type Limiter struct {
 	mu sync.Mutex
 	m  map[string]*slots // by target
 }
@@ -76,17 +76,17 @@
 	return s.underWay + len(s.freeAt)
 }
 
-// Free says whether one more request may be sent to a target.
-func (g *Gate) Free(target string, quota int, now time.Time) bool {
+// Available says whether one more request may be sent to a target.
+func (g *Limiter) Available(target string, quota int, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.m[target]
 	return quota > 0 && (s == nil || s.taken(now) < quota)
 }
 
-// Take takes a place for a request that is sent now; false if there is none. Done must
+// Acquire takes a place for a request that is sent now; false if there is none. Done must
 // follow.
-func (g *Gate) Take(target string, quota int, now time.Time) bool {
+func (g *Limiter) Acquire(target string, quota int, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.m == nil {
@@ -104,8 +104,8 @@
 	return true
 }
 
-// Done says that the request was written, or never will be.
-func (g *Gate) Done(target string, now time.Time) {
+// Release says that the request was written, or never will be.
+func (g *Limiter) Release(target string, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.m[target]
@@ -113,8 +113,8 @@
 	s.freeAt = append(s.freeAt, now.Add(window))
 }
 
-// Keep forgets all targets but those that keep names, and those with requests under way.
-func (g *Gate) Keep(keep func(target string) bool) {
+// Retain forgets all targets but those that keep names, and those with requests under way.
+func (g *Limiter) Retain(keep func(target string) bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for name, s := range g.m {
--- a/internal/core/cold/cold_test.go
+++ b/internal/core/warmup/warmup_test.go
@@ -1,4 +1,4 @@
-package cold_test
+package warmup_test
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 	"pgregory.net/rapid"
 
-	"github.com/shedhoist/shedhoist/internal/core/cold"
+	"github.com/shedhoist/shedhoist/internal/core/warmup"
 )
 
 // What a target bears while it is cold.
@@ -37,7 +37,7 @@
 							known = append(known, fmt.Sprint("e-", j))
 						}
 					}
-					if s := cold.ShareOf(limit, len(known)); s.Chosen(target, self, known) {
+					if s := warmup.Allocate(limit, len(known)); s.IsSender(target, self, known) {
 						chosen = append(chosen, s.Quota)
 					}
 				}
@@ -57,7 +57,7 @@
 // taken, and comes up to 300 ms later.
 func press(t *rapid.T, quotas []int, seed uint64) int {
 	const step = 20 * time.Millisecond
-	gates := make([]cold.Gate, len(quotas))
+	gates := make([]warmup.Limiter, len(quotas))
 	type flight struct {
 		gate int
 		sent time.Time
@@ -68,13 +68,13 @@
 	n := uint64(0)
 	for range 4 * int(second/step) {
 		for i := range gates {
-			for gates[i].Take("t", quotas[i], now) {
+			for gates[i].Acquire("t", quotas[i], now) {
 				n++
 				sent := now.Add(time.Duration(mix(seed, n, 1)%400) * time.Millisecond)
 				flying = append(flying, flight{i, sent})
 				came = append(came, trip{sent, sent.Add(time.Duration(mix(seed, n, 2)%300) * time.Millisecond)})
 			}
-			if gates[i].Free("t", quotas[i], now) {
+			if gates[i].Available("t", quotas[i], now) {
 				t.Fatal("free, but not to be taken")
 			}
 		}
@@ -85,7 +85,7 @@
 				still = append(still, f)
 				continue
 			}
-			gates[f.gate].Done("t", now)
+			gates[f.gate].Release("t", now)
 		}
 		flying = still
 	}
@@ -132,7 +132,7 @@
 	for target := range 600 {
 		n := 0
 		for _, self := range all {
-			if cold.ShareOf(limit, len(all)).Chosen(fmt.Sprint("t-", target), self, all) {
+			if warmup.Allocate(limit, len(all)).IsSender(fmt.Sprint("t-", target), self, all) {
 				n++
 				load[self]++
 			}
@@ -149,32 +149,32 @@
 // TestNoLimit: a target that bears less than a request of each gets none.
 func TestNoLimit(t *testing.T) {
 	is := is.New(t)
-	is.Equal(cold.ShareOf(1, 71), cold.Share{})
-	is.Equal(cold.ShareOf(1, 0), cold.Share{})
-	var g cold.Gate
-	is.True(!g.Free("t", 0, time.Time{}))
-	is.True(!g.Take("t", 0, time.Time{}))
+	is.Equal(warmup.Allocate(1, 71), warmup.Allocation{})
+	is.Equal(warmup.Allocate(1, 0), warmup.Allocation{})
+	var g warmup.Limiter
+	is.True(!g.Available("t", 0, time.Time{}))
+	is.True(!g.Acquire("t", 0, time.Time{}))
 }
 
 // TestSmallFleets: the fewer instances there are, the more each may send, up to a bound.
 func TestSmallFleets(t *testing.T) {
 	is := is.New(t)
-	for instances, want := range map[int]cold.Share{1: {1, 4}, 3: {3, 4}, 6: {6, 2}, 9: {9, 1}, 71: {12, 1}, 330: {12, 1}} {
-		is.Equal(cold.ShareOf(limit, instances), want)
+	for instances, want := range map[int]warmup.Allocation{1: {1, 4}, 3: {3, 4}, 6: {6, 2}, 9: {9, 1}, 71: {12, 1}, 330: {12, 1}} {
+		is.Equal(warmup.Allocate(limit, instances), want)
 	}
 }
 
 // TestKeep: what is known of a target goes with it, but not while requests are under way.
 func TestKeep(t *testing.T) {
 	is := is.New(t)
-	var g cold.Gate
+	var g warmup.Limiter
 	now := time.Unix(1000, 0)
-	is.True(g.Take("t", 1, now))
+	is.True(g.Acquire("t", 1, now))
 	none := func(string) bool { return false }
-	g.Keep(none)
-	is.True(!g.Free("t", 1, now))
-	g.Done("t", now)
-	is.True(!g.Free("t", 1, now))
-	g.Keep(none)
-	is.True(g.Free("t", 1, now))
+	g.Retain(none)
+	is.True(!g.Available("t", 1, now))
+	g.Release("t", now)
+	is.True(!g.Available("t", 1, now))
+	g.Retain(none)
+	is.True(g.Available("t", 1, now))
 }
--- a/internal/core/dark/dark.go
+++ b/internal/core/zonehealth/zonehealth.go
@@ -4,7 +4,7 @@
 //
 // Invariant: a zone is dark only by connects of this instance, whatever others tell: where an
 // instance sees a zone, it uses it.
-package dark
+package zonehealth
 
 import (
 	"sync"
@@ -25,13 +25,13 @@
 	dark    bool
 }
 
-// Zones are the zones. The zero value knows of none. It is safe for use by several goroutines.
-type Zones struct {
+// Tracker are the zones. The zero value knows of none. It is safe for use by several goroutines.
+type Tracker struct {
 	mu sync.Mutex
 	m  map[string]*zone
 }
 
-func (z *Zones) of(name string) *zone {
+func (z *Tracker) of(name string) *zone {
 	if z.m == nil {
 		z.m = map[string]*zone{}
 	}
@@ -41,8 +41,8 @@
 	return z.m[name]
 }
 
-// Ask says whether the caller shall look at a zone now. Looked must follow then.
-func (z *Zones) Ask(name string, now time.Time) bool {
+// BeginProbe says whether the caller shall look at a zone now. Looked must follow then.
+func (z *Tracker) BeginProbe(name string, now time.Time) bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	one := z.of(name)
@@ -53,9 +53,9 @@
 	return true
 }
 
-// Looked takes what a look showed: whether anything answered. It says whether the belief
+// EndProbe takes what a look showed: whether anything answered. It says whether the belief
 // changed.
-func (z *Zones) Looked(name string, answers bool) bool {
+func (z *Tracker) EndProbe(name string, answers bool) bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	one := z.of(name)
@@ -65,8 +65,8 @@
 	return changed
 }
 
-// Dark names the zones that are dark. The common answer is none.
-func (z *Zones) Dark() map[string]bool {
+// Unreachable names the zones that are dark. The common answer is none.
+func (z *Tracker) Unreachable() map[string]bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	var out map[string]bool
--- a/internal/daemon/admit.go
+++ b/internal/daemon/admit.go
@@ -33,13 +33,13 @@
 		a.customers[c.Name] = state
 	}
 	now := a.now()
-	a.shares.Asked(c.Name, now)
+	a.shares.RecordRequest(c.Name, now)
 	err := state.Admit(c.Rates, promptTokens, a.shares.Share(c.Name, instances, now), now)
 	var refused *limit.RefusedError
 	if errors.As(err, &refused) {
 		metric.Refused(c.Name, string(refused.Reason)).Inc()
 		p := problem.New(problem.LimitExceeded, "customer "+c.Name+" is over its limit of "+string(refused.Reason))
-		p.RetryAfter = refused.Wait
+		p.RetryAfter = refused.RetryAfter
 		return nil, p
 	}
 	var once sync.Once
@@ -47,7 +47,7 @@
 		once.Do(func() {
 			a.mu.Lock()
 			defer a.mu.Unlock()
-			state.Generated(generated)
+			state.ChargeGenerated(generated)
 			state.Release()
 		})
 	}, nil
@@ -57,7 +57,7 @@
 func (a *admission) Demands() []limit.Demand {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.shares.Own(maxDemands, a.now())
+	return a.shares.TopDemands(maxDemands, a.now())
 }
 
 // maxDemands bounds the demands on one message.
@@ -70,7 +70,7 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.shares.Told(instance, demands, a.now())
+	a.shares.SetPeerDemands(instance, demands, a.now())
 }
 
 // Running returns the requests in hand by customer.
@@ -79,7 +79,7 @@
 	defer a.mu.Unlock()
 	out := map[string]int{}
 	for name, c := range a.customers {
-		if n := c.Running(); n > 0 {
+		if n := c.InFlight(); n > 0 {
 			out[name] = n
 		}
 	}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -91,15 +91,15 @@
 func (d *Dispatcher) earn(share float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.budget.SetShare(share)
-	d.budget.Request()
+	d.budget.SetRatio(share)
+	d.budget.Deposit()
 }
 
 // spend takes one retry from the budget, if there is one.
 func (d *Dispatcher) spend() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	ok := d.budget.Retry()
+	ok := d.budget.TryWithdraw()
 	if !ok {
 		metric.BudgetSpent.Inc()
 	}
@@ -118,7 +118,7 @@
 // ill health, nor is anything that the caller did.
 func (d *Dispatcher) judgeTarget(name string, ev attempt.Event) {
 	switch ev {
-	case attempt.NotSent, attempt.BrokeEarly, attempt.BrokeLate, attempt.Mismatched:
+	case attempt.NotSent, attempt.FailedBeforeResponse, attempt.FailedMidResponse, attempt.Mismatched:
 		d.ejected.Result(name, false)
 	case attempt.Done:
 		d.ejected.Result(name, true)
@@ -146,9 +146,9 @@
 	case errors.As(err, &mismatch):
 		return attempt.Mismatched
 	case errors.As(err, &broken) && broken.Began:
-		return attempt.BrokeLate
+		return attempt.FailedMidResponse
 	}
-	return attempt.BrokeEarly
+	return attempt.FailedBeforeResponse
 }
 
 // failure builds the caller's problem from a verdict.
--- a/internal/gateway/ages.go
+++ b/internal/gateway/ages.go
@@ -7,8 +7,8 @@
 
 	"github.com/apex/log"
 
-	"github.com/shedhoist/shedhoist/internal/core/fresh"
 	"github.com/shedhoist/shedhoist/internal/core/member"
+	"github.com/shedhoist/shedhoist/internal/core/staleness"
 	"github.com/shedhoist/shedhoist/internal/metric"
 	"github.com/shedhoist/shedhoist/internal/wait"
 )
@@ -77,11 +77,11 @@
 
 // confirm notes that all that the object store holds of a kind was told, as of a moment. It
 // goes the way of what was told, and returns when both have taken effect.
-func (g *Gateway) confirm(k fresh.Kind, at time.Time) {
+func (g *Gateway) confirm(k staleness.Kind, at time.Time) {
 	g.query(func(c *control) {
 		c.noteFresh()
 		have := c.have()
-		newest := [...]uint64{fresh.Config: have.Config, fresh.Targets: uint64(have.Targets), fresh.Versions: uint64(have.Versions), fresh.Evacuations: uint64(have.Evacuations)}
+		newest := [...]uint64{staleness.Config: have.Config, staleness.Targets: uint64(have.Targets), staleness.Versions: uint64(have.Versions), staleness.Evacuations: uint64(have.Evacuations)}
 		c.fresh.Confirm(k, newest[k], at)
 	})
 }
@@ -92,10 +92,10 @@
 		return // nobody asks for ages
 	}
 	known := c.known()
-	c.fresh.Have(fresh.Config, known.Config)
-	c.fresh.Have(fresh.Targets, uint64(known.Targets))
-	c.fresh.Have(fresh.Versions, uint64(known.Versions))
-	c.fresh.Have(fresh.Evacuations, uint64(known.Evacuations))
+	c.fresh.SetCopyRevision(staleness.Config, known.Config)
+	c.fresh.SetCopyRevision(staleness.Targets, uint64(known.Targets))
+	c.fresh.SetCopyRevision(staleness.Versions, uint64(known.Versions))
+	c.fresh.SetCopyRevision(staleness.Evacuations, uint64(known.Evacuations))
 }
 
 // doubtAge is the age of a copy from which this instance asks the object store itself.
@@ -150,12 +150,12 @@
 
 // Ages is the answer.
 type Ages struct {
-	Fresh []fresh.Word `cbor:"1,keyasint,omitempty"`
+	Fresh []staleness.Report `cbor:"1,keyasint,omitempty"`
 }
 
 // Ages answers a top's question.
 func (h *peerHandler) Ages(_ *AgesAsk, out *Ages) error {
-	out.Fresh = h.g.fresh.Words(h.g.now())
+	out.Fresh = h.g.fresh.Reports(h.g.now())
 	return nil
 }
 
@@ -197,7 +197,7 @@
 	var out Ages
 	asked := g.now()
 	if g.pool.Call(ctx, address, peerService+".Ages", &AgesAsk{}, &out) == nil {
-		g.fresh.Take(out.Fresh, asked)
+		g.fresh.Merge(out.Fresh, asked)
 	}
 }
 
@@ -214,7 +214,7 @@
 	if c.fresh == nil || c.fleet.instances < 2 || peerAge < c.configWithin {
 		return false
 	}
-	age, known := c.fresh.Age(fresh.Config, c.now())
+	age, known := c.fresh.Age(staleness.Config, c.now())
 	return known && age >= c.configWithin
 }
 
--- a/internal/gateway/ages_test.go
+++ b/internal/gateway/ages_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/shedhoist/shedhoist/internal/core/fresh"
+	"github.com/shedhoist/shedhoist/internal/core/staleness"
 )
 
 // status asks an instance for a path that no route takes.
@@ -91,7 +91,7 @@
 		for range calm / time.Second {
 			time.Sleep(time.Second)
 			for _, g := range f.gates {
-				age, known := g.fresh.Age(fresh.Config, g.now())
+				age, known := g.fresh.Age(staleness.Config, g.now())
 				is.True(known && age < watcherWait+othersDoubt)
 			}
 		}
--- a/internal/gateway/budgets.go
+++ b/internal/gateway/budgets.go
@@ -43,14 +43,14 @@
 func (b *budgets) request(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.of(service).Request()
+	b.of(service).Deposit()
 }
 
 // retry spends one retry from a service's budget, if there is one.
 func (b *budgets) retry(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	ok := b.of(service).Retry()
+	ok := b.of(service).TryWithdraw()
 	if !ok {
 		metric.BudgetSpent.Inc()
 	}
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/shedhoist/shedhoist/internal/catalog"
-	"github.com/shedhoist/shedhoist/internal/core/place"
+	"github.com/shedhoist/shedhoist/internal/core/placement"
 	"github.com/shedhoist/shedhoist/internal/loads"
 	"github.com/shedhoist/shedhoist/internal/metric"
 	"github.com/shedhoist/shedhoist/internal/problem"
@@ -20,7 +20,7 @@
 const leastFit = 8
 
 // pick decides on the next attempt: its target, or nil if there is to be none.
-func (x *exchange) pick() (*catalog.Target, place.Decision) {
+func (x *exchange) pick() (*catalog.Target, placement.Decision) {
 	resting := x.g.ejected.Sick()
 	candidates, serving := x.view.Candidates[x.service], x.view.Serving[x.service]
 	x.dark, x.restEnds = x.g.darkNow(serving), x.g.ejected.Asked()
@@ -30,41 +30,41 @@
 	options, works := x.options(candidates, resting)
 	query := x.query()
 	for {
-		d := place.Decide(options, query)
-		if d.Action != place.Send {
+		d := placement.Select(options, query)
+		if d.Action != placement.Send {
 			return nil, d
 		}
 		t := candidates[d.Index]
 		if x.g.ejected.Asks(t.ID) {
 			x.restEnds = x.g.ejected.Asked()
-			options[d.Index].AsksRest = true // another request was told meanwhile
+			options[d.Index].InBackoff = true // another request was told meanwhile
 			continue
 		}
-		if !options[d.Index].Resting && !x.g.ejected.Try(t.ID) {
-			options[d.Index].Resting = true // another request tries it
+		if !options[d.Index].Ejected && !x.g.ejected.Try(t.ID) {
+			options[d.Index].Ejected = true // another request tries it
 			continue
 		}
 		if x.enter(t, x.g.now()) {
-			x.asks, x.predictedMS = works[d.Index], options[d.Index].FirstMS
+			x.asks, x.predictedMS = works[d.Index], options[d.Index].FirstResponseMS
 			return t, d
 		}
-		options[d.Index].Closed = true // another request was faster
+		options[d.Index].WarmupLimited = true // another request was faster
 	}
 }
 
 // query is the request as place sees it.
-func (x *exchange) query() place.Query {
+func (x *exchange) query() placement.Query {
 	set := x.g.settings()
-	q := place.Query{Zone: set.Zone, Rollout: set.RolloutWithin, CrowdMS: x.crowdMS(), Bytes: len(x.body), Rand: rand.Float64, Policy: set.Policy,
-		Tokens: x.call.keeps(), Begun: x.begun || x.ran > 0}
+	q := placement.Query{Zone: set.Zone, RolloutTimeout: set.RolloutWithin, ConcurrencyPenaltyMS: x.crowdMS(), RequestBytes: len(x.body), Rand: rand.Float64, Policy: set.Policy,
+		NeededTokens: x.call.keeps(), Started: x.begun || x.ran > 0}
 	p := x.call.Prompt
 	if p == nil || len(p.Parts) < 2 {
 		return q
 	}
 	shared := p.Parts[:len(p.Parts)-1]
-	q.Subject = shared[len(shared)-1].ID
+	q.PrefixKey = shared[len(shared)-1].ID
 	if src := x.sourcesOf(max(x.view.Named[p.Model].Version, 1))[len(shared)-1]; src.store != nil && set.Policy.StoreZones {
-		q.KeptIn = src.store.Zone
+		q.StoreZone = src.store.Zone
 	}
 	tokens := 0
 	for _, part := range shared {
@@ -72,7 +72,7 @@
 	}
 	x.g.predictorMu.Lock()
 	defer x.g.predictorMu.Unlock()
-	q.SharedMS = x.g.predictor.Read(tokens)
+	q.SharedPrefillMS = x.g.predictor.PrefillTime(tokens)
 	return q
 }
 
@@ -129,31 +129,31 @@
 }
 
 // options are the targets as place sees them, and what the request asks of each.
-func (x *exchange) options(targets []*catalog.Target, resting []string) ([]place.Target, []cacheWork) {
+func (x *exchange) options(targets []*catalog.Target, resting []string) ([]placement.Target, []cacheWork) {
 	now := x.g.now()
-	options, works := make([]place.Target, len(targets)), make([]cacheWork, len(targets))
+	options, works := make([]placement.Target, len(targets)), make([]cacheWork, len(targets))
 	set := x.g.settings()
 	others := x.othersAt(targets, now)
 	x.g.predictorMu.Lock()
 	defer x.g.predictorMu.Unlock()
 	for i, t := range targets {
 		load := x.g.upstream.work.Of(t.ID)
-		o := place.Target{ID: t.Name, Zone: t.Zone, Runs: int(load.Runs.Load()), Excluded: x.tried(t), Resting: slices.Contains(resting, t.ID), Dark: x.dark[t.Zone], AsksRest: x.asksRest(t)}
-		o.Closed, o.Pull = x.closed(t, now)
+		o := placement.Target{ID: t.Name, Zone: t.Zone, InFlight: int(load.Runs.Load()), Excluded: x.tried(t), Ejected: slices.Contains(resting, t.ID), ZoneUnreachable: x.dark[t.Zone], InBackoff: x.asksRest(t)}
+		o.WarmupLimited, o.Weight = x.closed(t, now)
 		if p := x.call.Prompt; p != nil {
 			version := t.VersionOf(p.Model)
-			o.Unfit = version == 0
-			o.BehindFor = x.view.Named[p.Model].behindFor(version, now)
+			o.LacksModel = version == 0
+			o.OutdatedFor = x.view.Named[p.Model].behindFor(version, now)
 			works[i] = x.workAt(t, version, now)
-			o.Capacity = x.view.Config.MemoryOf(t.Service)
-			o.InMemory = int(load.Memory.Load()) + others[i].Memory
+			o.CapacityTokens = x.view.Config.MemoryOf(t.Service)
+			o.UsedTokens = int(load.Memory.Load()) + others[i].Memory
 		}
-		works[i].AheadTokens = int(load.Tokens.Load()) + others[i].Tokens
-		o.FirstMS = x.g.predictor.Nominal(works[i].Work)
+		works[i].QueuedTokens = int(load.Tokens.Load()) + others[i].Tokens
+		o.FirstResponseMS = x.g.predictor.NominalTime(works[i].PrefillWork)
 		if set.Policy.Overdue {
-			o.FirstMS = x.g.predictor.First(t.ID, works[i].Work, now)
+			o.FirstResponseMS = x.g.predictor.FirstResponseTime(t.ID, works[i].PrefillWork, now)
 		}
-		o.LinkMS = works[i].FetchMS
+		o.LinkOccupancyMS = works[i].FetchMS
 		options[i] = o
 	}
 	return options, works
@@ -192,7 +192,7 @@
 const comeBackFull = time.Second
 
 // refuseNoTarget ends a request for which no target may be used.
-func (x *exchange) refuseNoTarget(d place.Decision) {
+func (x *exchange) refuseNoTarget(d placement.Decision) {
 	v := x.machine.NoTarget()
 	x.decision = d
 	switch {
@@ -201,9 +201,9 @@
 	case x.view.evacuatedAll(x.service):
 		metric.EvacuatedRefusals.Inc()
 		x.refuse(later(problem.NoTarget, "all zones with targets of the service are evacuated", comeBackEvacuated/2+rand.N(comeBackEvacuated)))
-	case d.AskRest > 0:
+	case d.InBackoff > 0:
 		x.refuseResting()
-	case d.Closed > 0:
+	case d.WarmupLimited > 0:
 		metric.ColdRefusals.Inc()
 		x.refuse(later(problem.Overloaded, "the targets are cold and bear no more now", comeBackCold/2+rand.N(comeBackCold)))
 	default:
@@ -246,7 +246,7 @@
 
 // refuseFull refuses a request, of which nothing has run, since every target that could
 // take it is full.
-func (x *exchange) refuseFull(d place.Decision) {
+func (x *exchange) refuseFull(d placement.Decision) {
 	x.machine.NoTarget()
 	x.decision = d
 	metric.FullRefusals.Inc()
--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/shedhoist/shedhoist/internal/catalog"
-	"github.com/shedhoist/shedhoist/internal/core/cold"
+	"github.com/shedhoist/shedhoist/internal/core/warmup"
 	"github.com/shedhoist/shedhoist/internal/metric"
 )
 
@@ -35,10 +35,10 @@
 	if c == nil {
 		return 0
 	}
-	share := cold.ShareOf(limit, len(c.known))
+	share := warmup.Allocate(limit, len(c.known))
 	yes, known := c.m.Load(target)
 	if !known {
-		yes = share.Chosen(target, c.self, c.known)
+		yes = share.IsSender(target, c.self, c.known)
 		c.m.Store(target, yes)
 	}
 	if !yes.(bool) {
@@ -51,7 +51,7 @@
 	if c == nil {
 		return 1
 	}
-	return cold.ShareOf(limit, len(c.known)).Pull(len(c.known))
+	return warmup.Allocate(limit, len(c.known)).Weight(len(c.known))
 }
 
 // isCold says whether a target is cold, as far as is known.
@@ -90,7 +90,7 @@
 	if !limited {
 		return false, 1
 	}
-	return !x.g.cold.Free(t.ID, quota, now), x.view.coldChoice.pull(x.coldLimit(t))
+	return !x.g.cold.Available(t.ID, quota, now), x.view.coldChoice.pull(x.coldLimit(t))
 }
 
 // coldLimit is how many requests a second a target may get from all while it is cold.
@@ -107,7 +107,7 @@
 	if !limited {
 		return true
 	}
-	x.entered = x.g.cold.Take(t.ID, quota, now)
+	x.entered = x.g.cold.Acquire(t.ID, quota, now)
 	if x.entered {
 		metric.ColdRequests.Inc()
 	}
@@ -121,5 +121,5 @@
 		return func() {}
 	}
 	x.entered = false
-	return sync.OnceFunc(func() { x.g.cold.Done(t.ID, x.g.now()) })
+	return sync.OnceFunc(func() { x.g.cold.Release(t.ID, x.g.now()) })
 }
--- a/internal/gateway/configuration.go
+++ b/internal/gateway/configuration.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"github.com/shedhoist/shedhoist/internal/core/fresh"
 	"github.com/shedhoist/shedhoist/internal/core/member"
+	"github.com/shedhoist/shedhoist/internal/core/staleness"
 	"github.com/shedhoist/shedhoist/internal/metric"
 	"github.com/shedhoist/shedhoist/internal/wait"
 )
@@ -152,7 +152,7 @@
 	}
 	entry.Info("configuration read from the object store")
 	g.readConfigs(s.Objects)
-	g.confirm(fresh.Config, asked)
+	g.confirm(staleness.Config, asked)
 }
 
 // ConfigAsk asks a peer for a piece of a configuration.
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -7,8 +7,8 @@
 	"github.com/apex/log"
 
 	"github.com/shedhoist/shedhoist/internal/catalog"
-	"github.com/shedhoist/shedhoist/internal/core/fresh"
 	"github.com/shedhoist/shedhoist/internal/core/member"
+	"github.com/shedhoist/shedhoist/internal/core/staleness"
 	"github.com/shedhoist/shedhoist/internal/evacuation"
 	"github.com/shedhoist/shedhoist/internal/platform"
 	"github.com/shedhoist/shedhoist/internal/registry"
@@ -46,7 +46,7 @@
 	missing  time.Time // since when all peers heard of know more live members; zero: they don't
 	draining bool
 	storeOK  bool
-	fresh    *fresh.Book
+	fresh    *staleness.Tracker
 	cutOff   cutOff
 	// firstHand is until when what changes here may be news to all: this instance, in doubt,
 	// asked the object store itself.
--- a/internal/gateway/darkzone.go
+++ b/internal/gateway/darkzone.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/shedhoist/shedhoist/internal/catalog"
-	"github.com/shedhoist/shedhoist/internal/core/dark"
+	"github.com/shedhoist/shedhoist/internal/core/zonehealth"
 	"github.com/shedhoist/shedhoist/internal/metric"
 	"github.com/shedhoist/shedhoist/internal/wait"
 )
@@ -38,7 +38,7 @@
 // darkZones are what an instance believes of zones, and the attempts that end with them.
 type darkZones struct {
 	g     *Gateway
-	zones dark.Zones
+	zones zonehealth.Tracker
 	mu    sync.Mutex
 	waits map[string]map[*work]func() // by zone: attempts without an answer, and what ends them
 }
@@ -75,7 +75,7 @@
 
 // silent takes that a connect to a target did not come about in a usual time.
 func (d *darkZones) silent(t *catalog.Target) {
-	if d.zones.Ask(t.Zone, d.g.now()) {
+	if d.zones.BeginProbe(t.Zone, d.g.now()) {
 		d.g.start(func() { d.look(t.Zone, "") })
 	}
 }
@@ -85,7 +85,7 @@
 func (d *darkZones) look(zone, from string) {
 	targets := d.g.view.Load().inZone(zone)
 	if len(targets) < leastDark {
-		d.zones.Looked(zone, true)
+		d.zones.EndProbe(zone, true)
 		return
 	}
 	rand.Shuffle(len(targets), func(i, j int) { targets[i], targets[j] = targets[j], targets[i] })
@@ -98,7 +98,7 @@
 	for range targets {
 		some = <-answers || some
 	}
-	if !d.zones.Looked(zone, some) {
+	if !d.zones.EndProbe(zone, some) {
 		return
 	}
 	metric.DarkZones.Inc()
@@ -118,7 +118,7 @@
 		if len(targets) >= leastDark && !d.answers(targets[rand.IntN(len(targets))]) {
 			continue
 		}
-		d.zones.Looked(zone, true)
+		d.zones.EndProbe(zone, true)
 		d.g.log.WithField("zone", zone).WithField("after_ms", d.g.now().Sub(began).Milliseconds()).Info("zone answers again")
 		return
 	}
@@ -146,7 +146,7 @@
 // SilentZone takes a peer's word, and passes it on once.
 func (h *peerHandler) SilentZone(req *SilentZone, _ *Heard) error {
 	d := &h.g.dark
-	if !d.zones.Ask(req.Zone, h.g.now()) {
+	if !d.zones.BeginProbe(req.Zone, h.g.now()) {
 		return nil // it is dark here too, or has just been looked at
 	}
 	h.g.start(func() { d.look(req.Zone, req.From) })
@@ -184,7 +184,7 @@
 // darkNow are the zones that requests to some targets leave out. Where all that have targets
 // seem dark it is most likely this instance's own link, and none is left out.
 func (g *Gateway) darkNow(targets []*catalog.Target) map[string]bool {
-	out := g.dark.zones.Dark()
+	out := g.dark.zones.Unreachable()
 	if len(out) == 0 {
 		return nil
 	}
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"github.com/shedhoist/shedhoist/internal/core/fresh"
+	"github.com/shedhoist/shedhoist/internal/core/staleness"
 	"github.com/shedhoist/shedhoist/internal/core/stock"
 	"github.com/shedhoist/shedhoist/internal/wait"
 )
@@ -56,7 +56,7 @@
 	More    bool        `cbor:"5,keyasint,omitempty"` // some were left out, to be asked for at once
 	// Fresh has the ages of the teller's copies of what the object store holds: those who
 	// ask for the directory are those who go by its news.
-	Fresh []fresh.Word `cbor:"6,keyasint,omitempty"`
+	Fresh []staleness.Report `cbor:"6,keyasint,omitempty"`
 }
 
 // StoreNews is what changed in one store.
@@ -90,7 +90,7 @@
 // Directory answers another instance's look.
 func (h *peerHandler) Directory(req *DirectoryAsk, out *Directory) error {
 	*out = h.g.cache.tell(*req)
-	out.Fresh = h.g.fresh.Words(h.g.now())
+	out.Fresh = h.g.fresh.Reports(h.g.now())
 	return nil
 }
 
@@ -234,7 +234,7 @@
 	var d Directory
 	asked := c.g.now()
 	err := c.g.pool.Call(ctx, source, peerService+".Directory", &ask, &d)
-	c.g.fresh.Take(d.Fresh, asked)
+	c.g.fresh.Merge(d.Fresh, asked)
 	return d, err
 }
 
--- a/internal/gateway/evacuate.go
+++ b/internal/gateway/evacuate.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/shedhoist/shedhoist/internal/core/fresh"
+	"github.com/shedhoist/shedhoist/internal/core/staleness"
 	"github.com/shedhoist/shedhoist/internal/evacuation"
 	"github.com/shedhoist/shedhoist/internal/platform"
 )
@@ -24,8 +24,8 @@
 	return feed{kind: g.codec.EvacuationsKind(), watcher: evacuationsWait, due: g.evacuationsDue,
 		list: g.listEvacuations, changes: g.changeEvacuations,
 		known:     func() platform.Version { return g.view.Load().EvacuatedAt },
-		age:       func() (time.Duration, bool) { return g.fresh.Age(fresh.Evacuations, g.now()) },
-		confirmed: func(at time.Time) { g.confirm(fresh.Evacuations, at) }}
+		age:       func() (time.Duration, bool) { return g.fresh.Age(staleness.Evacuations, g.now()) },
+		confirmed: func(at time.Time) { g.confirm(staleness.Evacuations, at) }}
 }
 
 // listEvacuations takes the list. An object evacuates the zone of its name, whatever its body.
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -9,9 +9,9 @@
 
 	"github.com/shedhoist/shedhoist/internal/catalog"
 	"github.com/shedhoist/shedhoist/internal/core/attempt"
-	"github.com/shedhoist/shedhoist/internal/core/fresh"
-	"github.com/shedhoist/shedhoist/internal/core/place"
+	"github.com/shedhoist/shedhoist/internal/core/placement"
 	"github.com/shedhoist/shedhoist/internal/core/quarantine"
+	"github.com/shedhoist/shedhoist/internal/core/staleness"
 	"github.com/shedhoist/shedhoist/internal/metric"
 	"github.com/shedhoist/shedhoist/internal/problem"
 )
@@ -55,7 +55,7 @@
 	entered     bool                 // it holds a place at a cold target, see cold.go
 	trial       bool                 // it is let through to try whether its quarantine is right
 	suspect     *quarantine.State    // what it was rejected for
-	decision    place.Decision       // the one that refused the request
+	decision    placement.Decision   // the one that refused the request
 	predictedMS float64
 	spare       *spareAnswer // a failure of a target's own, delivered if nothing better comes
 	ended       bool
@@ -86,10 +86,10 @@
 		x.view = x.g.view.Load() // time has passed since it came, or since the last attempt
 		t, d := x.pick()
 		switch d.Action {
-		case place.Refuse:
+		case placement.Refuse:
 			x.refuseFull(d)
 			return
-		case place.None:
+		case placement.NoTarget:
 			x.refuseNoTarget(d)
 			return
 		}
@@ -276,7 +276,7 @@
 	}
 	e := x.g.log.WithField("request", x.call.ID).WithField("route", route).WithField("service", x.service).WithField("targets", x.targets).
 		WithField("outcome", outcome).WithField("status", status).WithField("ms", x.sinceMS()).WithField("config", x.configVersion())
-	if age, known := x.g.fresh.Age(fresh.Config, x.g.now()); known {
+	if age, known := x.g.fresh.Age(staleness.Config, x.g.now()); known {
 		e = e.WithField("config_age_ms", age.Milliseconds())
 	}
 	if x.firstMS > 0 {
@@ -284,7 +284,7 @@
 	}
 	if x.plan.version > 0 {
 		e = e.WithField("weights", x.plan.version).WithField("fetch_ms", x.asks.FetchMS).WithField("target_zone", x.lastZone).WithField("fetched_parts", x.plan.fetches).WithField("saved_parts", len(x.plan.saved)).WithField("link", x.asks.Link).
-			WithField("read_tokens", x.asks.ReadTokens)
+			WithField("read_tokens", x.asks.PrefillTokens)
 		if x.plan.silentMS > 0 {
 			e = e.WithField("not_saved_target_silent_ms", x.plan.silentMS)
 		}
@@ -298,11 +298,11 @@
 	if detail != "" {
 		e = e.WithField("detail", detail)
 	}
-	if n := x.decision.AskRest; n > 0 {
+	if n := x.decision.InBackoff; n > 0 {
 		e = e.WithField("resting_targets", n).WithField("rest_left_ms", x.restLeft().Milliseconds())
 	}
-	if x.decision.Action == place.Refuse {
-		e = e.WithField("full_targets", x.decision.Full).WithField("free_tokens", x.decision.FreeTokens).WithField("needed_tokens", x.call.keeps())
+	if x.decision.Action == placement.Refuse {
+		e = e.WithField("full_targets", x.decision.FullTargets).WithField("free_tokens", x.decision.FreeTokens).WithField("needed_tokens", x.call.keeps())
 	}
 	if s := x.suspect; s != nil {
 		e = e.WithField("crashes", s.Crashes).WithField("quarantined_ms", s.Since.Milliseconds()).WithField("trial_in_ms", s.TrialIn.Milliseconds())
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/shedhoist/shedhoist/internal/catalog"
-	"github.com/shedhoist/shedhoist/internal/core/fresh"
+	"github.com/shedhoist/shedhoist/internal/core/staleness"
 	"github.com/shedhoist/shedhoist/internal/metric"
 	"github.com/shedhoist/shedhoist/internal/platform"
 	"github.com/shedhoist/shedhoist/internal/wait"
@@ -74,7 +74,7 @@
 		{kind: versions, watcher: slowKindWait, due: g.versionsDue, list: func(s platform.Snapshot) { g.readVersions(s.Revision, s.Objects) },
 			changes: func(c platform.Changes) { g.readVersions(c.Revision, present(c)) }},
 	}
-	for i, k := range [...]fresh.Kind{fresh.Config, fresh.Targets, fresh.Versions} {
+	for i, k := range [...]staleness.Kind{staleness.Config, staleness.Targets, staleness.Versions} {
 		feeds[i].age = func() (time.Duration, bool) { return g.fresh.Age(k, g.now()) }
 		feeds[i].confirmed = func(at time.Time) { g.confirm(k, at) }
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -20,11 +20,11 @@
 	"github.com/apex/log"
 
 	"github.com/shedhoist/shedhoist/internal/breaker"
-	"github.com/shedhoist/shedhoist/internal/core/cold"
-	"github.com/shedhoist/shedhoist/internal/core/fresh"
 	"github.com/shedhoist/shedhoist/internal/core/member"
-	"github.com/shedhoist/shedhoist/internal/core/place"
+	"github.com/shedhoist/shedhoist/internal/core/placement"
 	"github.com/shedhoist/shedhoist/internal/core/quarantine"
+	"github.com/shedhoist/shedhoist/internal/core/staleness"
+	"github.com/shedhoist/shedhoist/internal/core/warmup"
 	"github.com/shedhoist/shedhoist/internal/drain"
 	"github.com/shedhoist/shedhoist/internal/loads"
 	"github.com/shedhoist/shedhoist/internal/logline"
@@ -71,7 +71,7 @@
 	began        time.Time
 	// heardPeer is when a peer answered last, ns after began.
 	heardPeer atomic.Int64
-	fresh     *fresh.Book // ages of the copies of what the object store holds
+	fresh     *staleness.Tracker // ages of the copies of what the object store holds
 	// failing has the kinds about which the store does not answer.
 	failingMu sync.Mutex
 	failing   map[string]bool
@@ -98,15 +98,15 @@
 	suspectsDue     wait.Signal
 	suspectsOut     outbox
 	tellDue         wait.Signal
-	suspectsChanged atomic.Bool  // the object store is to be told
-	compared        atomic.Int64 // when they were last compared with a peer's, ns after began
-	cold            cold.Gate    // what is sent to cold targets
-	dark            darkZones    // zones that are silent as a whole
-	ejected         *breaker.Set // targets whose requests fail
+	suspectsChanged atomic.Bool    // the object store is to be told
+	compared        atomic.Int64   // when they were last compared with a peer's, ns after began
+	cold            warmup.Limiter // what is sent to cold targets
+	dark            darkZones      // zones that are silent as a whole
+	ejected         *breaker.Set   // targets whose requests fail
 	budgets         budgets
 	// predictor is shared by all requests.
 	predictorMu sync.Mutex
-	predictor   *place.Predictor
+	predictor   *placement.Predictor
 	others      *loads.Heard
 	silences    *loads.Silences
 	lateSaves   *loads.LateSaves
@@ -130,14 +130,14 @@
 		engines: ports.Engines, events: make(chan event, eventBacklog), controlDone: make(chan struct{}), storeDue: wait.NewSignal(), versionsDue: wait.NewSignal(), evacuationsDue: wait.NewSignal(), configDue: wait.NewSignal(), informed: make(chan struct{}), failing: map[string]bool{}}
 	g.set.Store(set)
 	g.began = g.now()
-	g.fresh = &fresh.Book{}
+	g.fresh = &staleness.Tracker{}
 	g.ctx, g.stop = context.WithCancel(context.Background())
 	g.upstream = newUpstreamOver(ports.Dial)
 	g.quarantine, g.suspectsDue, g.tellDue = quarantine.NewBook(), wait.NewSignal(), wait.NewSignal()
 	g.dark.g, g.dark.waits = g, map[string]map[*work]func(){}
 	g.crashes = &crashes{g: g, m: map[string]*crashCheck{}}
 	g.ejected = breaker.New(g.now)
-	g.predictor = place.NewPredictor()
+	g.predictor = placement.NewPredictor()
 	g.others, g.silences, g.lateSaves = loads.NewHeard(loadAge), loads.NewSilences(loadAge), loads.NewLateSaves(loadAge)
 	g.cache = newCacheDirectory(g)
 	g.rollout = newRollout(g)
@@ -298,9 +298,9 @@
 		keep := func(name string) bool { return known[name] }
 		g.upstream.work.Keep(keep)
 		g.ejected.Keep(keep)
-		g.cold.Keep(keep)
+		g.cold.Retain(keep)
 		g.predictorMu.Lock()
-		g.predictor.Keep(keep)
+		g.predictor.Retain(keep)
 		g.predictorMu.Unlock()
 	}
 }
@@ -325,7 +325,7 @@
 	metric.SetGauge("shedhoist_config_version", float64(g.configVersion()))
 	metric.SetGauge("shedhoist_config_version_heard", float64(v.ConfigHeard))
 	metric.SetGauge("shedhoist_config_bytes", float64(v.ConfigBytes))
-	if age, known := g.fresh.Age(fresh.Config, g.now()); known {
+	if age, known := g.fresh.Age(staleness.Config, g.now()); known {
 		metric.SetGauge("shedhoist_config_age_seconds", age.Seconds())
 	}
 	metric.SetGauge("shedhoist_targets", float64(len(v.Targets)))
--- a/internal/gateway/model.go
+++ b/internal/gateway/model.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/shedhoist/shedhoist/internal/catalog"
-	"github.com/shedhoist/shedhoist/internal/core/place"
+	"github.com/shedhoist/shedhoist/internal/core/placement"
 	"github.com/shedhoist/shedhoist/internal/core/stock"
 	"github.com/shedhoist/shedhoist/internal/loads"
 )
@@ -17,7 +17,7 @@
 
 // cacheWork is what a prompt asks of one target.
 type cacheWork struct {
-	place.Work
+	placement.PrefillWork
 	fetch []bool // the parts to fetch
 }
 
@@ -86,18 +86,18 @@
 // is held.
 func (x *exchange) workAt(t *catalog.Target, version uint64, now time.Time) cacheWork {
 	p := x.call.Prompt
-	w := cacheWork{Work: place.Work{ReadTokens: p.Tokens}, fetch: make([]bool, len(p.Parts))}
+	w := cacheWork{PrefillWork: placement.PrefillWork{PrefillTokens: p.Tokens}, fetch: make([]bool, len(p.Parts))}
 	largest := 0.0
 	for i, src := range x.sourcesOf(version) {
 		if src.store == nil {
 			continue
 		}
 		ms := x.transferMS(src, t)
-		if !x.worthFetching(x.g.predictor.Fetch(place.Work{FetchMS: ms, Link: src.store.Address}, now)) {
+		if !x.worthFetching(x.g.predictor.FetchTime(placement.PrefillWork{FetchMS: ms, Link: src.store.Address}, now)) {
 			continue
 		}
 		w.fetch[i] = true
-		w.ReadTokens -= p.Parts[i].Tokens
+		w.PrefillTokens -= p.Parts[i].Tokens
 		if i == 0 {
 			continue
 		}
@@ -106,7 +106,7 @@
 			largest, w.Link = ms, src.store.Address
 		}
 	}
-	w.ReadTokens = max(w.ReadTokens, 0)
+	w.PrefillTokens = max(w.PrefillTokens, 0)
 	return w
 }
 
@@ -206,15 +206,15 @@
 }
 
 // beginTicket notes a request that is sent now.
-func (g *Gateway) beginTicket(target string, w place.Work, now time.Time) *place.Ticket {
+func (g *Gateway) beginTicket(target string, w placement.PrefillWork, now time.Time) *placement.PendingRequest {
 	g.predictorMu.Lock()
 	defer g.predictorMu.Unlock()
-	return g.predictor.Begin(target, w, now)
+	return g.predictor.Start(target, w, now)
 }
 
 // dropTicket forgets a request that has ended.
-func (g *Gateway) dropTicket(t *place.Ticket) {
+func (g *Gateway) dropTicket(t *placement.PendingRequest) {
 	g.predictorMu.Lock()
 	defer g.predictorMu.Unlock()
-	g.predictor.Drop(t)
+	g.predictor.Remove(t)
 }
--- a/internal/gateway/news.go
+++ b/internal/gateway/news.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"github.com/shedhoist/shedhoist/internal/catalog"
-	"github.com/shedhoist/shedhoist/internal/core/fresh"
 	"github.com/shedhoist/shedhoist/internal/core/member"
+	"github.com/shedhoist/shedhoist/internal/core/staleness"
 	"github.com/shedhoist/shedhoist/internal/metric"
 	"github.com/shedhoist/shedhoist/internal/platform"
 	"github.com/shedhoist/shedhoist/internal/wait"
@@ -74,13 +74,13 @@
 
 // Welcome is the answer to a Hello.
 type Welcome struct {
-	From    member.Member   `cbor:"1,keyasint"`
-	Updates []member.Member `cbor:"2,keyasint"`
-	Have    Have            `cbor:"3,keyasint"`
-	News    *News           `cbor:"4,keyasint,omitempty"`
-	Ages    []NamedAge      `cbor:"5,keyasint,omitempty"` // to one that joins
-	Members int             `cbor:"6,keyasint,omitempty"` // live members that the sender knows
-	Fresh   []fresh.Word    `cbor:"7,keyasint,omitempty"`
+	From    member.Member      `cbor:"1,keyasint"`
+	Updates []member.Member    `cbor:"2,keyasint"`
+	Have    Have               `cbor:"3,keyasint"`
+	News    *News              `cbor:"4,keyasint,omitempty"`
+	Ages    []NamedAge         `cbor:"5,keyasint,omitempty"` // to one that joins
+	Members int                `cbor:"6,keyasint,omitempty"` // live members that the sender knows
+	Fresh   []staleness.Report `cbor:"7,keyasint,omitempty"`
 	// Suspects is the sender's quarantine.Book.Digest.
 	Suspects uint64  `cbor:"8,keyasint,omitempty"`
 	Leaving  Leavers `cbor:"9,keyasint,omitempty"`
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -76,7 +76,7 @@
 		*out = c.welcome(req)
 		behind, lacking = c.known().lacks(req.Have), c.lacksMembers(req.Members)
 	})
-	out.Fresh = h.g.fresh.Words(h.g.now())
+	out.Fresh = h.g.fresh.Reports(h.g.now())
 	out.Suspects = h.g.quarantine.Digest(h.g.now())
 	if lacking {
 		h.g.start(func() { h.g.takeMembers(req.From.Address) })
@@ -211,7 +211,7 @@
 	var reply Welcome
 	asked := g.now()
 	err := g.pool.Call(ctx, p.Address, peerService+".Hello", req, &reply)
-	g.fresh.Take(reply.Fresh, asked)
+	g.fresh.Merge(reply.Fresh, asked)
 	if err != nil && req.Join {
 		return // a seed that does not answer is no member yet
 	}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -51,13 +51,13 @@
 			return x.streamEnd(at, first)
 		}
 		if err != nil {
-			return ending{event: attempt.BrokeLate, broken: true, cause: &BadAnswerError{Target: at.target.ID, Reason: "stream is not whole", Cause: err}}
+			return ending{event: attempt.FailedMidResponse, broken: true, cause: &BadAnswerError{Target: at.target.ID, Reason: "stream is not whole", Cause: err}}
 		}
 		if first {
 			x.observe(at)
 		}
 		if !x.follows(id) {
-			return ending{event: attempt.BrokeLate, cause: &BadAnswerError{Target: at.target.ID, Reason: "event " + id + " after event " + x.lastEvent}}
+			return ending{event: attempt.FailedMidResponse, cause: &BadAnswerError{Target: at.target.ID, Reason: "event " + id + " after event " + x.lastEvent}}
 		}
 		if !x.begun {
 			x.writeHeader(at.resp.StatusCode, at.resp.Header, -1)
--- a/internal/gateway/try.go
+++ b/internal/gateway/try.go
@@ -15,7 +15,7 @@
 
 	"github.com/shedhoist/shedhoist/internal/catalog"
 	"github.com/shedhoist/shedhoist/internal/core/attempt"
-	"github.com/shedhoist/shedhoist/internal/core/place"
+	"github.com/shedhoist/shedhoist/internal/core/placement"
 	"github.com/shedhoist/shedhoist/internal/inflight"
 	"github.com/shedhoist/shedhoist/internal/metric"
 	"github.com/shedhoist/shedhoist/internal/netx"
@@ -66,7 +66,7 @@
 	resp   *http.Response
 	answer Answer
 	asked  cacheWork
-	ticket *place.Ticket
+	ticket *placement.PendingRequest
 	done   bool // the prompt no longer waits at the target
 	sent   atomic.Bool
 }
@@ -75,7 +75,7 @@
 func (w *work) answered() {
 	if !w.done {
 		w.done = true
-		w.load.Tokens.Add(-int64(w.asked.ReadTokens))
+		w.load.Tokens.Add(-int64(w.asked.PrefillTokens))
 	}
 }
 
@@ -94,12 +94,12 @@
 	defer x.g.dark.wait(t.Zone, at, x.leaveDark(at, cancel))()
 	at.load.Runs.Add(1)
 	defer at.load.Runs.Add(-1)
-	at.load.Tokens.Add(int64(x.asks.ReadTokens))
+	at.load.Tokens.Add(int64(x.asks.PrefillTokens))
 	defer at.answered()
 	keeps := int64(x.call.keeps())
 	at.load.Memory.Add(keeps)
 	defer at.load.Memory.Add(-keeps)
-	at.ticket = x.g.beginTicket(t.ID, at.asked.Work, at.began)
+	at.ticket = x.g.beginTicket(t.ID, at.asked.PrefillWork, at.began)
 	defer x.g.dropTicket(at.ticket)
 	x.targets, x.lastZone, x.word = append(x.targets, t.ID), t.Zone, Word{}
 	if x.mayLeave() {
@@ -120,7 +120,7 @@
 	if errors.Is(err, syscall.ETIMEDOUT) {
 		x.g.dark.silent(t)
 	}
-	end := ending{cause: err, event: attempt.BrokeEarly, broken: way.Sent}
+	end := ending{cause: err, event: attempt.FailedBeforeResponse, broken: way.Sent}
 	switch {
 	case err != nil && !way.Sent:
 		end.event = attempt.NotSent
@@ -140,7 +140,7 @@
 	x.mayTryAgain(t, way, end, ctx.Err() == nil)
 	end.paid = at.paid.Load()
 	x.judge(at, end)
-	if end.broken && (end.event == attempt.BrokeEarly || end.event == attempt.BrokeLate) {
+	if end.broken && (end.event == attempt.FailedBeforeResponse || end.event == attempt.FailedMidResponse) {
 		x.g.crashes.broke(t, x.asBroken())
 	}
 	return end
@@ -162,7 +162,7 @@
 // the target.
 func (x *exchange) mayTryAgain(t *catalog.Target, way netx.Way, end ending, inTime bool) {
 	x.freshTo = ""
-	if way.Kept && inTime && (end.event == attempt.BrokeEarly || end.event == attempt.Mismatched) {
+	if way.Kept && inTime && (end.event == attempt.FailedBeforeResponse || end.event == attempt.Mismatched) {
 		x.freshTo = t.ID
 	}
 }
@@ -267,9 +267,9 @@
 	success := isSuccess(status)
 	switch {
 	case a.Encoded:
-		return bad(attempt.BrokeLate, "answer with an encoded body", nil)
+		return bad(attempt.FailedMidResponse, "answer with an encoded body", nil)
 	case success && !a.Signed:
-		return bad(attempt.BrokeLate, "success that the target does not vouch for", nil)
+		return bad(attempt.FailedMidResponse, "success that the target does not vouch for", nil)
 	case success && x.route.Kind == catalog.Streaming:
 		return x.stream(at)
 	}
@@ -298,7 +298,7 @@
 func (x *exchange) whole(at *work) ending {
 	data, err := io.ReadAll(io.LimitReader(at.resp.Body, largestHeld+1))
 	if err != nil {
-		return ending{event: attempt.BrokeLate, broken: true, cause: &BadAnswerError{Target: at.target.ID, Reason: "answer is not whole", Cause: err}}
+		return ending{event: attempt.FailedMidResponse, broken: true, cause: &BadAnswerError{Target: at.target.ID, Reason: "answer is not whole", Cause: err}}
 	}
 	x.observe(at)
 	status := at.resp.StatusCode
@@ -308,10 +308,10 @@
 	}
 	if status >= http.StatusInternalServerError && x.route.Repeatable() && !x.begun {
 		x.spare = spare
-		return ending{event: attempt.BrokeLate, cause: &BadAnswerError{Target: at.target.ID, Reason: "failed with status " + strconv.Itoa(status)}}
+		return ending{event: attempt.FailedMidResponse, cause: &BadAnswerError{Target: at.target.ID, Reason: "failed with status " + strconv.Itoa(status)}}
 	}
 	if x.begun { // it was to continue a stream
-		return ending{event: attempt.BrokeLate, cause: &BadAnswerError{Target: at.target.ID, Reason: "no continuation, status " + strconv.Itoa(status)}}
+		return ending{event: attempt.FailedMidResponse, cause: &BadAnswerError{Target: at.target.ID, Reason: "no continuation, status " + strconv.Itoa(status)}}
 	}
 	spare.deliver(x)
 	return ending{delivered: true, status: status}
@@ -324,7 +324,7 @@
 		return ending{event: attempt.CallerGone, cause: err}
 	}
 	if _, err := io.Copy(x.w, at.resp.Body); err != nil {
-		return ending{event: attempt.BrokeLate, broken: true, cause: &BadAnswerError{Target: at.target.ID, Reason: "answer is not whole", Cause: err}}
+		return ending{event: attempt.FailedMidResponse, broken: true, cause: &BadAnswerError{Target: at.target.ID, Reason: "answer is not whole", Cause: err}}
 	}
 	return ending{delivered: true, status: head.status}
 }
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -94,7 +94,7 @@
 	}
 	l := cc.Limits
 	out := &Customer{Customer: cc, Secret: secret, models: map[string]bool{}, services: map[string]bool{},
-		Rates: limit.Rates{Requests: l.Requests, Prompt: l.PromptTokens, Generated: l.GeneratedTokens, Concurrency: l.Concurrency}}
+		Rates: limit.Rates{Requests: l.Requests, PromptTokens: l.PromptTokens, GeneratedTokens: l.GeneratedTokens, Concurrency: l.Concurrency}}
 	for _, m := range cc.Models {
 		out.models[m] = true
 	}
