--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -137,8 +137,8 @@
 	x.g.predictorMu.Lock()
 	defer x.g.predictorMu.Unlock()
 	for i, t := range targets {
-		load := x.g.upstream.work.Of(t.ID)
-		o := placement.Target{ID: t.Name, Zone: t.Zone, InFlight: int(load.Runs.Load()), Excluded: x.tried(t), Ejected: slices.Contains(resting, t.ID), ZoneUnreachable: x.dark[t.Zone], InBackoff: x.asksRest(t)}
+		load := x.g.upstream.work.Get(t.ID)
+		o := placement.Target{ID: t.Name, Zone: t.Zone, InFlight: int(load.Requests.Load()), Excluded: x.tried(t), Ejected: slices.Contains(resting, t.ID), ZoneUnreachable: x.dark[t.Zone], InBackoff: x.asksRest(t)}
 		o.WarmupLimited, o.Weight = x.closed(t, now)
 		if p := x.call.Prompt; p != nil {
 			version := t.VersionOf(p.Model)
@@ -146,9 +146,9 @@
 			o.OutdatedFor = x.view.Named[p.Model].behindFor(version, now)
 			works[i] = x.workAt(t, version, now)
 			o.CapacityTokens = x.view.Config.MemoryOf(t.Service)
-			o.UsedTokens = int(load.Memory.Load()) + others[i].Memory
+			o.UsedTokens = int(load.MemoryTokens.Load()) + others[i].Memory
 		}
-		works[i].QueuedTokens = int(load.Tokens.Load()) + others[i].Tokens
+		works[i].QueuedTokens = int(load.PrefillTokens.Load()) + others[i].Tokens
 		o.FirstResponseMS = x.g.predictor.NominalTime(works[i].PrefillWork)
 		if set.Policy.LearnedLatency {
 			o.FirstResponseMS = x.g.predictor.FirstResponseTime(t.ID, works[i].PrefillWork, now)
--- a/internal/gateway/late_saves.go
+++ b/internal/gateway/late_saves.go
@@ -38,9 +38,9 @@
 
 // signs are what is known of a target.
 func (c *cacheDirectory) signs(target string) cachestore.TargetActivity {
-	own := &c.g.upstream.work.Of(target).Silence
+	own := &c.g.upstream.work.Get(target).Responses
 	now := c.g.now()
-	return cachestore.TargetActivity{LastResponse: own.Heard(), UnresponsiveFor: own.Among(c.g.silences.Since(loads.KeyOf(target), now), now)}
+	return cachestore.TargetActivity{LastResponse: own.LastActivity(), UnresponsiveFor: own.UnresponsiveForWithPeers(c.g.silences.Since(loads.KeyOf(target), now), now)}
 }
 
 // beginSave notes what a request asks a target to save; nil: nothing.
