--- a/internal/breaker/asked.go
+++ b/internal/breaker/asked.go
@@ -10,21 +10,21 @@
 type askedRest struct {
 	until time.Time
 	told  time.Time // the end that was news last
-	sent  time.Time // when the last call was sent that was answered so, see AskInAnswer
+	sent  time.Time // when the last call was sent that was answered so, see RequestBackoffInResponse
 }
 
 // askNews is by how much the end of a rest has moved when it is news again: a name that turns
 // many calls away says much the same to each.
 const askNews = 300 * time.Millisecond
 
-// Ask notes that name wants no calls for d. It returns the end of its rest, the latest of those
+// RequestBackoff notes that name wants no calls for d. It returns the end of its rest, the latest of those
 // asked for, and whether it is news: a new rest, or one whose end has moved since the last news.
-func (b *Set) Ask(name string, d time.Duration) (until time.Time, news bool) {
-	return b.AskInAnswer(name, d, time.Time{})
+func (b *Set) RequestBackoff(name string, d time.Duration) (until time.Time, news bool) {
+	return b.RequestBackoffInResponse(name, d, time.Time{})
 }
 
-// AskInAnswer is Ask by the answer to a call that was sent at a time; zero: not known.
-func (b *Set) AskInAnswer(name string, d time.Duration, sent time.Time) (until time.Time, news bool) {
+// RequestBackoffInResponse is Ask by the answer to a call that was sent at a time; zero: not known.
+func (b *Set) RequestBackoffInResponse(name string, d time.Duration, sent time.Time) (until time.Time, news bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.endAsked()
@@ -56,9 +56,9 @@
 	b.asked[name] = e
 }
 
-// Pass gives the rest that one name has asked for, or most of it from now on, to another, if the
+// TransferBackoff gives the rest that one name has asked for, or most of it from now on, to another, if the
 // time of the last call that was answered so shows that the other gave the answer.
-func (b *Set) Pass(from, to string, most time.Duration, gave func(sent time.Time) bool) {
+func (b *Set) TransferBackoff(from, to string, most time.Duration, gave func(sent time.Time) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.endAsked()
@@ -71,9 +71,9 @@
 	}
 }
 
-// Asked returns the names that want no calls now, with the ends of their rests; the common
+// Backoffs returns the names that want no calls now, with the ends of their rests; the common
 // answer is none.
-func (b *Set) Asked() map[string]time.Time {
+func (b *Set) Backoffs() map[string]time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.endAsked()
@@ -87,8 +87,8 @@
 	return out
 }
 
-// Asks says whether name wants no calls now.
-func (b *Set) Asks(name string) bool {
+// InBackoff says whether name wants no calls now.
+func (b *Set) InBackoff(name string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e, held := b.asked[name]
--- a/internal/breaker/asked_test.go
+++ b/internal/breaker/asked_test.go
@@ -20,13 +20,13 @@
 		want time.Duration // the rest's end
 	}{
 		{"nothing else", func(*breaker.Set) {}, rest},
-		{"a success", func(s *breaker.Set) { s.Result("a", true) }, rest},
-		{"failures", func(s *breaker.Set) { s.Result("a", false); s.Result("a", false) }, rest},
-		{"a rest after a refusal", func(s *breaker.Set) { s.Rest("a", time.Minute) }, rest},
-		{"a look at those that rest", func(s *breaker.Set) { s.Rest("a", time.Millisecond); s.Resting() }, rest},
-		{"a shorter one", func(s *breaker.Set) { s.Ask("a", time.Second) }, rest},
-		{"a longer one", func(s *breaker.Set) { s.Ask("a", 5*time.Second) }, 5 * time.Second},
-		{"it is gone for a while", func(s *breaker.Set) { s.Keep(func(string) bool { return false }) }, rest},
+		{"a success", func(s *breaker.Set) { s.RecordResult("a", true) }, rest},
+		{"failures", func(s *breaker.Set) { s.RecordResult("a", false); s.RecordResult("a", false) }, rest},
+		{"a rest after a refusal", func(s *breaker.Set) { s.Eject("a", time.Minute) }, rest},
+		{"a look at those that rest", func(s *breaker.Set) { s.Eject("a", time.Millisecond); s.Ejected() }, rest},
+		{"a shorter one", func(s *breaker.Set) { s.RequestBackoff("a", time.Second) }, rest},
+		{"a longer one", func(s *breaker.Set) { s.RequestBackoff("a", 5*time.Second) }, 5 * time.Second},
+		{"it is gone for a while", func(s *breaker.Set) { s.Retain(func(string) bool { return false }) }, rest},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -34,15 +34,15 @@
 			began := time.Unix(0, 0)
 			now := began
 			s := breaker.New(func() time.Time { return now })
-			is.Equal(len(s.Asked()), 0)
-			s.Ask("a", rest)
+			is.Equal(len(s.Backoffs()), 0)
+			s.RequestBackoff("a", rest)
 			c.act(s)
-			is.Equal(s.Asked(), map[string]time.Time{"a": began.Add(c.want)})
+			is.Equal(s.Backoffs(), map[string]time.Time{"a": began.Add(c.want)})
 			now = began.Add(c.want - 1)
-			is.True(s.Asks("a"))
+			is.True(s.InBackoff("a"))
 			now = began.Add(c.want)
-			is.True(!s.Asks("a"))
-			is.Equal(len(s.Asked()), 0)
+			is.True(!s.InBackoff("a"))
+			is.Equal(len(s.Backoffs()), 0)
 		})
 	}
 }
@@ -52,21 +52,21 @@
 func TestAskedIsOver(t *testing.T) {
 	for name, before := range map[string]func(s *breaker.Set){
 		"well until then":            func(*breaker.Set) {},
-		"refused":                    func(s *breaker.Set) { s.Rest("a", 100*time.Millisecond) },
-		"refused, then a success":    func(s *breaker.Set) { s.Rest("a", 100*time.Millisecond); s.Result("a", true) },
-		"refused, with a look since": func(s *breaker.Set) { s.Rest("a", 0); s.Resting() },
+		"refused":                    func(s *breaker.Set) { s.Eject("a", 100*time.Millisecond) },
+		"refused, then a success":    func(s *breaker.Set) { s.Eject("a", 100*time.Millisecond); s.RecordResult("a", true) },
+		"refused, with a look since": func(s *breaker.Set) { s.Eject("a", 0); s.Ejected() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			now := time.Unix(0, 0)
 			s := breaker.New(func() time.Time { return now })
-			s.Ask("a", time.Second)
+			s.RequestBackoff("a", time.Second)
 			before(s)
 			now = now.Add(time.Second)
-			is.Equal(len(s.Resting()), 0)        // one tries it
-			is.Equal(s.Resting(), []string{"a"}) // the others wait
-			s.Result("a", true)
-			is.Equal(len(s.Resting()), 0)
+			is.Equal(len(s.Ejected()), 0)        // one tries it
+			is.Equal(s.Ejected(), []string{"a"}) // the others wait
+			s.RecordResult("a", true)
+			is.Equal(len(s.Ejected()), 0)
 		})
 	}
 }
@@ -77,22 +77,22 @@
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	s := breaker.New(func() time.Time { return now })
-	until, news := s.Ask("a", time.Second)
+	until, news := s.RequestBackoff("a", time.Second)
 	is.Equal(until, now.Add(time.Second))
 	is.True(news)
-	until, news = s.Ask("a", time.Millisecond)
+	until, news = s.RequestBackoff("a", time.Millisecond)
 	is.Equal(until, now.Add(time.Second))
 	is.True(!news)
 	told := 0
 	for range 100 {
 		now = now.Add(10 * time.Millisecond)
-		if _, news = s.Ask("a", time.Second); news {
+		if _, news = s.RequestBackoff("a", time.Second); news {
 			told++
 		}
 	}
 	is.Equal(told, 3) // it moved by a second
 	now = now.Add(time.Second)
-	_, news = s.Ask("a", time.Millisecond)
+	_, news = s.RequestBackoff("a", time.Millisecond)
 	is.True(news) // the one before is over
 }
 
@@ -108,28 +108,28 @@
 			d := time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
 			switch rapid.IntRange(0, 6).Draw(t, "act") {
 			case 0:
-				s.Ask(name, d)
+				s.RequestBackoff(name, d)
 				if end := now.Add(d); end.After(ends[name]) {
 					ends[name] = end
 				}
 			case 1:
-				s.Result(name, rapid.Bool().Draw(t, "ok"))
+				s.RecordResult(name, rapid.Bool().Draw(t, "ok"))
 			case 2:
-				s.Rest(name, d)
+				s.Eject(name, d)
 			case 3:
-				s.Resting()
+				s.Ejected()
 			case 4:
-				s.Open(name)
+				s.Allow(name)
 			case 5:
-				s.Keep(func(n string) bool { return n != name })
+				s.Retain(func(n string) bool { return n != name })
 			case 6:
 				now = now.Add(d)
 			}
-			asked := s.Asked()
+			asked := s.Backoffs()
 			for _, n := range []string{"a", "b", "c"} {
 				asks := now.Before(ends[n])
-				if got, listed := asked[n]; s.Asks(n) != asks || listed != asks || asks && got != ends[n] {
-					t.Fatalf("%s asks until %v, at %v: %v, listed until %v", n, ends[n], now, s.Asks(n), got)
+				if got, listed := asked[n]; s.InBackoff(n) != asks || listed != asks || asks && got != ends[n] {
+					t.Fatalf("%s asks until %v, at %v: %v, listed until %v", n, ends[n], now, s.InBackoff(n), got)
 				}
 			}
 		}
--- a/internal/breaker/breaker.go
+++ b/internal/breaker/breaker.go
@@ -44,9 +44,9 @@
 // New returns breakers that are all closed.
 func New(now func() time.Time) *Set { return &Set{now: now, m: map[string]*breaker{}} }
 
-// Open says whether name may be called. When its rest ends one call at a
+// Allow says whether name may be called. When its rest ends one call at a
 // time tries it, so that its return is no storm.
-func (b *Set) Open(name string) bool {
+func (b *Set) Allow(name string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e := b.m[name]
@@ -61,17 +61,17 @@
 	return true
 }
 
-// Resting returns the names that may not be called now since they failed; the common answer is
+// Ejected returns the names that may not be called now since they failed; the common answer is
 // none. The caller is to try those whose rest has ended: others rest on meanwhile. A name that
 // asked for rest is not tried before its end, see Asked.
-func (b *Set) Resting() []string {
+func (b *Set) Ejected() []string {
 	return b.look(func(*breaker, time.Time) bool { return true })
 }
 
-// Sick is Resting for a caller that chooses one of several names: the trial of a name that had
+// EjectedForSelection is Resting for a caller that chooses one of several names: the trial of a name that had
 // asked for its rest, or went untried for long since, is not its own before it has taken it
 // with Try.
-func (b *Set) Sick() []string {
+func (b *Set) EjectedForSelection() []string {
 	return b.look(func(e *breaker, now time.Time) bool { return !e.byChoice(now) })
 }
 
@@ -98,9 +98,9 @@
 	return resting
 }
 
-// Try says whether name may be called now by a caller that Sick did not tell it rests: one call
+// AllowProbe says whether name may be called now by a caller that Sick did not tell it rests: one call
 // at a time where the trial is not that of the look.
-func (b *Set) Try(name string) bool {
+func (b *Set) AllowProbe(name string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
@@ -119,8 +119,8 @@
 // request's own.
 const sickAfter = 2
 
-// Result notes a call's end.
-func (b *Set) Result(name string, ok bool) {
+// RecordResult notes a call's end.
+func (b *Set) RecordResult(name string, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e := b.m[name]
@@ -143,8 +143,8 @@
 	e.rest(b.now().Add(min(restBase<<min(e.failures-1, 8), restMax)))
 }
 
-// Rest keeps calls away from name for at least d, whether or not it failed.
-func (b *Set) Rest(name string, d time.Duration) {
+// Eject keeps calls away from name for at least d, whether or not it failed.
+func (b *Set) Eject(name string, d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e := b.sicken(name)
@@ -169,9 +169,9 @@
 	return e
 }
 
-// Keep forgets all names but those that keep names. A rest that was asked for holds until its
+// Retain forgets all names but those that keep names. A rest that was asked for holds until its
 // end: a name may be unknown for a while and come back.
-func (b *Set) Keep(keep func(name string) bool) {
+func (b *Set) Retain(keep func(name string) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for name, e := range b.m {
--- a/internal/breaker/breaker_test.go
+++ b/internal/breaker/breaker_test.go
@@ -15,18 +15,18 @@
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	s := breaker.New(func() time.Time { return now })
-	s.Result("a", false)
-	is.Equal(len(s.Resting()), 0)
-	s.Result("a", false)
-	is.Equal(s.Resting(), []string{"a"})
+	s.RecordResult("a", false)
+	is.Equal(len(s.Ejected()), 0)
+	s.RecordResult("a", false)
+	is.Equal(s.Ejected(), []string{"a"})
 	now = now.Add(time.Second)
-	is.Equal(len(s.Resting()), 0)        // one request tries it
-	is.Equal(s.Resting(), []string{"a"}) // the others wait
-	s.Result("a", true)
-	is.Equal(len(s.Resting()), 0)
-	s.Rest("b", 100*time.Millisecond)
-	is.Equal(s.Resting(), []string{"b"})
-	s.Keep(func(name string) bool { return name == "a" })
-	is.Equal(len(s.Resting()), 0)
-	is.True(s.Open("b"))
+	is.Equal(len(s.Ejected()), 0)        // one request tries it
+	is.Equal(s.Ejected(), []string{"a"}) // the others wait
+	s.RecordResult("a", true)
+	is.Equal(len(s.Ejected()), 0)
+	s.Eject("b", 100*time.Millisecond)
+	is.Equal(s.Ejected(), []string{"b"})
+	s.Retain(func(name string) bool { return name == "a" })
+	is.Equal(len(s.Ejected()), 0)
+	is.True(s.Allow("b"))
 }
--- a/internal/breaker/pass_test.go
+++ b/internal/breaker/pass_test.go
@@ -18,22 +18,22 @@
 		act  func(s *breaker.Set)
 		want map[string]time.Time
 	}{
-		{"the one before gave it", func(s *breaker.Set) { s.AskInAnswer("a", 10*time.Second, at(40)) }, map[string]time.Time{"a": at(110)}},
-		{"when is not known", func(s *breaker.Set) { s.Ask("a", 10*time.Second) }, map[string]time.Time{"a": at(110)}},
-		{"the other gave it", func(s *breaker.Set) { s.AskInAnswer("a", 10*time.Second, at(60)) }, map[string]time.Time{"a": at(110), "b": at(110)}},
+		{"the one before gave it", func(s *breaker.Set) { s.RequestBackoffInResponse("a", 10*time.Second, at(40)) }, map[string]time.Time{"a": at(110)}},
+		{"when is not known", func(s *breaker.Set) { s.RequestBackoff("a", 10*time.Second) }, map[string]time.Time{"a": at(110)}},
+		{"the other gave it", func(s *breaker.Set) { s.RequestBackoffInResponse("a", 10*time.Second, at(60)) }, map[string]time.Time{"a": at(110), "b": at(110)}},
 		{"both gave it, the other a shorter one", func(s *breaker.Set) {
-			s.AskInAnswer("a", 10*time.Second, at(40))
-			s.AskInAnswer("a", 5*time.Second, at(60))
+			s.RequestBackoffInResponse("a", 10*time.Second, at(40))
+			s.RequestBackoffInResponse("a", 5*time.Second, at(60))
 		}, map[string]time.Time{"a": at(110), "b": at(110)}},
 		{"an answer to an earlier call comes last", func(s *breaker.Set) {
-			s.AskInAnswer("a", 5*time.Second, at(60))
-			s.AskInAnswer("a", 10*time.Second, at(40))
+			s.RequestBackoffInResponse("a", 5*time.Second, at(60))
+			s.RequestBackoffInResponse("a", 10*time.Second, at(40))
 		}, map[string]time.Time{"a": at(110), "b": at(110)}},
 		{"the other rests for longer", func(s *breaker.Set) {
-			s.AskInAnswer("a", 5*time.Second, at(60))
-			s.Ask("b", 20*time.Second)
+			s.RequestBackoffInResponse("a", 5*time.Second, at(60))
+			s.RequestBackoff("b", 20*time.Second)
 		}, map[string]time.Time{"a": at(105), "b": at(120)}},
-		{"for longer than is passed", func(s *breaker.Set) { s.AskInAnswer("a", time.Hour, at(60)) }, map[string]time.Time{"a": at(3700), "b": at(115)}},
+		{"for longer than is passed", func(s *breaker.Set) { s.RequestBackoffInResponse("a", time.Hour, at(60)) }, map[string]time.Time{"a": at(3700), "b": at(115)}},
 		{"nobody asked", func(*breaker.Set) {}, nil},
 	}
 	for _, c := range cases {
@@ -41,8 +41,8 @@
 			is := is.New(t)
 			s := breaker.New(func() time.Time { return at(100) })
 			c.act(s)
-			s.Pass("a", "b", 15*time.Second, func(sent time.Time) bool { return sent.After(at(50)) })
-			is.Equal(s.Asked(), c.want)
+			s.TransferBackoff("a", "b", 15*time.Second, func(sent time.Time) bool { return sent.After(at(50)) })
+			is.Equal(s.Backoffs(), c.want)
 		})
 	}
 }
--- a/internal/breaker/untried_test.go
+++ b/internal/breaker/untried_test.go
@@ -14,8 +14,8 @@
 func TestUntried(t *testing.T) {
 	const rest, most, look = 150 * time.Millisecond, 3 * time.Second, 10 * time.Millisecond
 	for name, fail := range map[string]func(s *breaker.Set){
-		"refused":       func(s *breaker.Set) { s.Rest("a", rest) },
-		"and its trial": func(s *breaker.Set) { s.Rest("a", 0); s.Sick(); s.Rest("a", rest) },
+		"refused":       func(s *breaker.Set) { s.Eject("a", rest) },
+		"and its trial": func(s *breaker.Set) { s.Eject("a", 0); s.EjectedForSelection(); s.Eject("a", rest) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -28,8 +28,8 @@
 				for began := now; ; now = now.Add(look) {
 					is.True(now.Sub(began) <= most)
 					switch {
-					case len(s.Sick()) > 0:
-					case len(s.Sick()) > 0:
+					case len(s.EjectedForSelection()) > 0:
+					case len(s.EjectedForSelection()) > 0:
 						taken++ // by the look before
 					default:
 						is.True(taken > 0)
@@ -38,15 +38,15 @@
 				}
 			}
 			first := untried()
-			is.True(s.Try("a"))
-			is.Equal(s.Sick(), []string{"a"}) // one tries it
-			is.True(!s.Try("a"))              // the others wait
-			is.True(untried() >= first)       // it refused again
-			is.True(s.Try("a"))
-			s.Result("a", true)
-			is.Equal(len(s.Sick()), 0)
+			is.True(s.AllowProbe("a"))
+			is.Equal(s.EjectedForSelection(), []string{"a"}) // one tries it
+			is.True(!s.AllowProbe("a"))                      // the others wait
+			is.True(untried() >= first)                      // it refused again
+			is.True(s.AllowProbe("a"))
+			s.RecordResult("a", true)
+			is.Equal(len(s.EjectedForSelection()), 0)
 			for range 2 {
-				is.True(s.Try("a"))
+				is.True(s.AllowProbe("a"))
 			}
 		})
 	}
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -17,7 +17,7 @@
 
 // Request kinds.
 const (
-	Once       RequestKind = iota // runs at most once
+	AtMostOnce RequestKind = iota // runs at most once
 	Idempotent                    // may run more than once
 	Streaming                     // a stream of events; runs at most once unless its route is resumable
 )
@@ -33,19 +33,19 @@
 
 // Route says where requests go and what they may expect.
 type Route struct {
-	Name        string
-	Host        string
-	PathPrefix  string // begins and ends with a slash
-	Kind        RequestKind
-	Timeout     time.Duration // longest time that a request may be kept
-	Objective   time.Duration // latency objective: to the whole answer, or to a stream's first event
-	GapLimit    time.Duration // longest pause between events for which a stream is on time; 0: none
-	Priority    int           // 0 is the most urgent
-	MaxAttempts int           // targets that one request may be sent to
-	Backends    []Backend
-	Public      bool // needs no key
-	Model       bool // requests name a model and the parts of their prompt
-	Resumable   bool // a stream may go on at another target
+	Name             string
+	Host             string
+	PathPrefix       string // begins and ends with a slash
+	Kind             RequestKind
+	Timeout          time.Duration // longest time that a request may be kept
+	LatencyObjective time.Duration // latency objective: to the whole answer, or to a stream's first event
+	MaxEventGap      time.Duration // longest pause between events for which a stream is on time; 0: none
+	Priority         int           // 0 is the most urgent
+	MaxAttempts      int           // targets that one request may be sent to
+	Backends         []Backend
+	Public           bool // needs no key
+	UsesModel        bool // requests name a model and the parts of their prompt
+	Resumable        bool // a stream may go on at another target
 }
 
 // Repeatable says whether a request on the route may run more than once.
@@ -69,23 +69,23 @@
 	HealthPath     string
 	MaxConnections int     // that one target accepts from all instances together
 	Engine         *Engine // nil: a plain service
-	// ColdFor is how long a target is cold after its start, or after the evacuation of its
-	// zone; 0: not at all. ColdRate is how many requests a second one bears then, from all
+	// Warmup is how long a target is cold after its start, or after the evacuation of its
+	// zone; 0: not at all. WarmupRate is how many requests a second one bears then, from all
 	// instances together.
-	ColdFor  time.Duration
-	ColdRate float64
+	Warmup     time.Duration
+	WarmupRate float64
 }
 
 // CacheStore keeps prompt cache outside accelerator memory.
 type CacheStore struct {
-	Name      string
-	Address   string // host:port
-	Zone      string
-	Capacity  int // tokens
-	LinkMbps  float64
-	FirstByte time.Duration // fixed delay of each transfer
-	MaxPolls  int           // event polls that it holds at a time
-	Managed   bool          // drops nothing by itself
+	Name            string
+	Address         string // host:port
+	Zone            string
+	Capacity        int // tokens
+	LinkMbps        float64
+	TransferLatency time.Duration // fixed delay of each transfer
+	MaxPolls        int           // event polls that it holds at a time
+	Managed         bool          // drops nothing by itself
 }
 
 // Customer is one customer.
@@ -118,8 +118,8 @@
 	wall      string
 }
 
-// Draft is what an adapter has decoded of a configuration.
-type Draft struct {
+// ConfigSpec is what an adapter has decoded of a configuration.
+type ConfigSpec struct {
 	Version   uint64
 	Limits    Limits
 	Routes    []Route
@@ -135,7 +135,7 @@
 }
 
 // NewConfig indexes a configuration.
-func NewConfig(d Draft) *Config {
+func NewConfig(d ConfigSpec) *Config {
 	c := &Config{Version: d.Version, Limits: d.Limits, Services: map[string]*Service{}, Stores: slices.Clone(d.Stores),
 		routes: map[string][]*Route{}, customers: map[string]*Customer{}, keyed: len(d.Customers) > 0}
 	for _, s := range d.Services {
@@ -164,12 +164,12 @@
 	return c
 }
 
-// Declares says whether the configuration declares a service: an entry of a target may name
+// HasService says whether the configuration declares a service: an entry of a target may name
 // any. Without a configuration none is declared.
-func (c *Config) Declares(service string) bool { return c != nil && c.Services[service] != nil }
+func (c *Config) HasService(service string) bool { return c != nil && c.Services[service] != nil }
 
-// MemoryOf is the memory of one target of a service, in tokens; 0 if it is not declared.
-func (c *Config) MemoryOf(service string) int {
+// TargetMemory is the memory of one target of a service, in tokens; 0 if it is not declared.
+func (c *Config) TargetMemory(service string) int {
 	if s := c.Services[service]; s != nil && s.Engine != nil {
 		return s.Engine.CacheTokens
 	}
@@ -198,14 +198,14 @@
 // Customer returns the customer that a key belongs to, or nil.
 func (c *Config) Customer(key string) *Customer { return c.customers[key] }
 
-// NeedsKey says whether requests on a route need a key.
-func (c *Config) NeedsKey(r *Route) bool { return c.keyed && !r.Public }
+// RequiresKey says whether requests on a route need a key.
+func (c *Config) RequiresKey(r *Route) bool { return c.keyed && !r.Public }
 
-// Wall is the text under which a customer's prompt cache may be found: its own
+// CacheScope is the text under which a customer's prompt cache may be found: its own
 // name if it is isolated, else one that all others share. The shared one changes
 // with the set of isolated customers, so that cache which a customer made before
 // it was isolated is not found by the others afterwards.
-func (c *Config) Wall(cust *Customer) string {
+func (c *Config) CacheScope(cust *Customer) string {
 	if cust != nil && cust.Isolated {
 		return "c/" + cust.Name
 	}
@@ -230,22 +230,22 @@
 	Zone     string         `cbor:"6,keyasint,omitempty"`
 	Leaving  bool           `cbor:"7,keyasint,omitempty"` // its entry says that it takes no new requests
 	Models   []ModelVersion `cbor:"8,keyasint,omitempty"`
-	// ColdMS is for how much longer the target was cold when it wrote its entry.
-	ColdMS int64 `cbor:"10,keyasint,omitempty"`
-	// ColdUntil is until when it is cold, by this instance's clock.
-	ColdUntil time.Time `cbor:"-"`
-	// SaidLeaving says that it has said itself, in an answer, that it takes no new requests.
-	SaidLeaving bool `cbor:"-"`
-	// SaidInherited says that clocks alone ascribe that word to this life.
-	SaidInherited bool `cbor:"-"`
-	// SaidTo is when the last request was sent whose answer told this instance so; zero: none.
-	SaidTo time.Time `cbor:"-"`
+	// WarmupMS is for how much longer the target was cold when it wrote its entry.
+	WarmupMS int64 `cbor:"10,keyasint,omitempty"`
+	// WarmupUntil is until when it is cold, by this instance's clock.
+	WarmupUntil time.Time `cbor:"-"`
+	// LeavingNotice says that it has said itself, in an answer, that it takes no new requests.
+	LeavingNotice bool `cbor:"-"`
+	// NoticeInherited says that clocks alone ascribe that word to this life.
+	NoticeInherited bool `cbor:"-"`
+	// NoticeRequestSent is when the last request was sent whose answer told this instance so; zero: none.
+	NoticeRequestSent time.Time `cbor:"-"`
 	// Unusable says that the entry can't be read as one of a server: nothing is sent there.
 	Unusable bool `cbor:"9,keyasint,omitempty"`
 }
 
-// Identify sets ID from the name and the start, and returns the target.
-func (t Target) Identify() Target {
+// WithID sets ID from the name and the start, and returns the target.
+func (t Target) WithID() Target {
 	t.ID = t.Name
 	if t.Start != 0 {
 		t.ID += "@" + strconv.FormatInt(t.Start, 10)
@@ -253,12 +253,12 @@
 	return t
 }
 
-// Leaves says whether the target takes no new requests, by its entry or by its own word.
-func (t *Target) Leaves() bool { return t.Leaving || t.SaidLeaving }
+// IsLeaving says whether the target takes no new requests, by its entry or by its own word.
+func (t *Target) IsLeaving() bool { return t.Leaving || t.LeavingNotice }
 
-// VersionOf returns the weight version that the target serves of a model; 0 is
+// WeightVersion returns the weight version that the target serves of a model; 0 is
 // none that is known.
-func (t *Target) VersionOf(model string) uint64 {
+func (t *Target) WeightVersion(model string) uint64 {
 	for _, m := range t.Models {
 		if m.Model == model {
 			return m.Version
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -9,7 +9,7 @@
 )
 
 func sample() *catalog.Config {
-	return catalog.NewConfig(catalog.Draft{Version: 3,
+	return catalog.NewConfig(catalog.ConfigSpec{Version: 3,
 		Routes: []catalog.Route{
 			{Name: "short", Host: "a.example", PathPrefix: "/x/"},
 			{Name: "long", Host: "a.example", PathPrefix: "/x/y/"},
@@ -53,8 +53,8 @@
 	c := sample()
 	one, two := c.Customer("k2"), c.Customer("k3")
 	is.True(one != nil && two != nil && c.Customer("k4") == nil)
-	is.True(c.Wall(one) != c.Wall(two))
-	is.Equal(c.Wall(one), c.Wall(nil)) // callers without a key share with those who are not isolated
-	open := catalog.NewConfig(catalog.Draft{Customers: []catalog.CustomerKeys{{Customer: catalog.Customer{Name: "one"}, Keys: []string{"k1"}}}})
-	is.True(open.Wall(open.Customer("k1")) != c.Wall(one))
+	is.True(c.CacheScope(one) != c.CacheScope(two))
+	is.Equal(c.CacheScope(one), c.CacheScope(nil)) // callers without a key share with those who are not isolated
+	open := catalog.NewConfig(catalog.ConfigSpec{Customers: []catalog.CustomerKeys{{Customer: catalog.Customer{Name: "one"}, Keys: []string{"k1"}}}})
+	is.True(open.CacheScope(open.Customer("k1")) != c.CacheScope(one))
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -119,9 +119,9 @@
 func (d *Dispatcher) judgeTarget(name string, ev attempt.Event) {
 	switch ev {
 	case attempt.NotSent, attempt.BrokeEarly, attempt.BrokeLate, attempt.Mismatched:
-		d.ejected.Result(name, false)
+		d.ejected.RecordResult(name, false)
 	case attempt.Done:
-		d.ejected.Result(name, true)
+		d.ejected.RecordResult(name, true)
 	}
 }
 
--- a/internal/dispatch/keep.go
+++ b/internal/dispatch/keep.go
@@ -41,7 +41,7 @@
 	var all []ranked
 	for i := range c.Bundle.Stores {
 		s := &c.Bundle.Stores[i]
-		if !c.Drained[s.Name] && d.stores.Open(s.Name) {
+		if !c.Drained[s.Name] && d.stores.Allow(s.Name) {
 			all = append(all, ranked{s, xxhash.Sum64(append([]byte(s.Name+"\x00"), root[:]...))})
 		}
 	}
@@ -73,7 +73,7 @@
 		go func() {
 			found, err := d.Stores.Lookup(ctx, s.Address, names)
 			if !errors.Is(err, context.Canceled) { // a caller that left says nothing of the store
-				d.stores.Result(s.Name, err == nil)
+				d.stores.RecordResult(s.Name, err == nil)
 			}
 			if err != nil {
 				metric.StoreErrors(s.Name).Inc()
@@ -148,7 +148,7 @@
 	res, err := d.Targets.Export(ctx, address, order)
 	var call *target.CallError
 	if errors.As(err, &call) && call.Status != 0 {
-		d.stores.Result(store, false) // the engine answered: it is the store that failed
+		d.stores.RecordResult(store, false) // the engine answered: it is the store that failed
 	}
 	if err != nil {
 		metric.StoreErrors(store).Inc()
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -65,10 +65,10 @@
 
 // decide finds the target, and what a store keeps for the run there.
 func (l *Live) decide(q route.Query) (dec route.Decision, k kept) {
-	sick := l.d.ejected.Sick()
+	sick := l.d.ejected.EjectedForSelection()
 	for {
 		dec, k = l.pick(q, sick)
-		if dec.Target == nil || slices.Contains(sick, dec.Target.Name) || l.d.ejected.Try(dec.Target.Name) {
+		if dec.Target == nil || slices.Contains(sick, dec.Target.Name) || l.d.ejected.AllowProbe(dec.Target.Name) {
 			return dec, k
 		}
 		sick = append(sick, dec.Target.Name) // another run tries it
@@ -84,7 +84,7 @@
 	if k = l.d.lookup(l.ctx, l.view.Config, l.keys, l.names, dec.FirstMS); k.found.Covered > 0 {
 		q.Stored, q.StoreMS = k.found.Covered, k.ms
 	}
-	if k.found.Covered > 0 || l.d.ejected.Asks(dec.Target.Name) {
+	if k.found.Covered > 0 || l.d.ejected.InBackoff(dec.Target.Name) {
 		l.chooseAgain(&q, &dec, sick)
 	}
 	return dec, k
--- a/internal/dispatch/rest.go
+++ b/internal/dispatch/rest.go
@@ -17,7 +17,7 @@
 	if !errors.As(err, &refused) || refused.RetryAfter <= 0 {
 		return
 	}
-	until, news := book.Ask(name, refused.RetryAfter)
+	until, news := book.RequestBackoff(name, refused.RetryAfter)
 	if !news {
 		return
 	}
@@ -28,7 +28,7 @@
 // asking are the names of a book that want nothing now.
 func asking(book *breaker.Set) []string {
 	var out []string
-	for name := range book.Asked() {
+	for name := range book.Backoffs() {
 		out = append(out, name)
 	}
 	return out
--- a/internal/dispatch/service.go
+++ b/internal/dispatch/service.go
@@ -96,11 +96,11 @@
 	var cause error
 	retries, asking := 0, false
 	for _, inst := range d.order(req) {
-		if !d.callees.Asks(inst.Name) {
+		if !d.callees.InBackoff(inst.Name) {
 			backoff(ctx, retries)
 		}
 		att := why.Attempt{Target: inst.Name, StartMS: d.sinceMS(req.Arrived)}
-		if d.callees.Asks(inst.Name) { // perhaps since the wait only
+		if d.callees.InBackoff(inst.Name) { // perhaps since the wait only
 			asking = true
 			continue
 		}
--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -24,22 +24,22 @@
 // from one that was never told.
 const firstChange platform.Version = 1
 
-// Known says whether the list was told at all.
-func (z *Zones) Known() bool { return z.changed > 0 }
+// Listed says whether the list was told at all.
+func (z *Zones) Listed() bool { return z.changed > 0 }
 
-// At is the object store's revision up to which the list is complete.
-func (z *Zones) At() platform.Version { return z.at }
+// Revision is the object store's revision up to which the list is complete.
+func (z *Zones) Revision() platform.Version { return z.at }
 
-// Changed is the revision of the last change; 0 before anything was told.
-func (z *Zones) Changed() platform.Version { return z.changed }
+// LastChange is the revision of the last change; 0 before anything was told.
+func (z *Zones) LastChange() platform.Version { return z.changed }
 
 // Names are the evacuated zones, sorted.
 func (z *Zones) Names() []string { return slices.Sorted(maps.Keys(z.zones)) }
 
-// List replaces the list by that of a later revision, whose last change was at changed. It
+// ApplyList replaces the list by that of a later revision, whose last change was at changed. It
 // says whether zones came or went.
-func (z *Zones) List(at, changed platform.Version, zones []string) bool {
-	if z.Known() && at <= z.at {
+func (z *Zones) ApplyList(at, changed platform.Version, zones []string) bool {
+	if z.Listed() && at <= z.at {
 		return false
 	}
 	next := make(map[string]bool, len(zones))
@@ -65,9 +65,9 @@
 	Removed bool
 }
 
-// Change takes the changes from a revision that was told before up to at, in their order. It
+// ApplyChanges takes the changes from a revision that was told before up to at, in their order. It
 // says whether zones came or went.
-func (z *Zones) Change(at platform.Version, changes []Change) bool {
+func (z *Zones) ApplyChanges(at platform.Version, changes []Change) bool {
 	if at <= z.at {
 		return false
 	}
--- a/internal/evacuation/evacuation_test.go
+++ b/internal/evacuation/evacuation_test.go
@@ -15,10 +15,10 @@
 func TestEmptyList(t *testing.T) {
 	is := is.New(t)
 	var z evacuation.Zones
-	is.True(!z.Known())
-	is.True(!z.List(0, 0, nil))
-	is.True(z.Known())
-	is.True(z.Changed() > 0)
+	is.True(!z.Listed())
+	is.True(!z.ApplyList(0, 0, nil))
+	is.True(z.Listed())
+	is.True(z.LastChange() > 0)
 }
 
 // history is what an object store held at each revision.
@@ -48,26 +48,26 @@
 		}
 		newest := platform.Version(len(states) - 1)
 		var z evacuation.Zones
-		z.List(0, 0, nil)
+		z.ApplyList(0, 0, nil)
 		for range 30 {
-			before := z.At()
+			before := z.Revision()
 			if rapid.Bool().Draw(t, "list") {
 				at := platform.Version(rapid.IntRange(0, int(newest)).Draw(t, "at"))
-				z.List(at, at, states.at(at))
+				z.ApplyList(at, at, states.at(at))
 			} else {
-				from := platform.Version(rapid.IntRange(0, int(z.At())).Draw(t, "from"))
+				from := platform.Version(rapid.IntRange(0, int(z.Revision())).Draw(t, "from"))
 				to := platform.Version(rapid.IntRange(int(from), int(newest)).Draw(t, "to"))
 				var page []evacuation.Change
 				for _, s := range steps[from+1 : to+1] {
 					page = append(page, s...)
 				}
-				z.Change(to, page)
+				z.ApplyChanges(to, page)
 			}
-			if z.At() < before || z.Changed() > max(z.At(), 1) {
-				t.Fatalf("at %d after %d, changed %d", z.At(), before, z.Changed())
+			if z.Revision() < before || z.LastChange() > max(z.Revision(), 1) {
+				t.Fatalf("at %d after %d, changed %d", z.Revision(), before, z.LastChange())
 			}
-			if !slices.Equal(z.Names(), states.at(z.At())) {
-				t.Fatalf("%v at %d, the store had %v", z.Names(), z.At(), states.at(z.At()))
+			if !slices.Equal(z.Names(), states.at(z.Revision())) {
+				t.Fatalf("%v at %d, the store had %v", z.Names(), z.Revision(), states.at(z.Revision()))
 			}
 		}
 	})
--- a/internal/gateway/beliefs_test.go
+++ b/internal/gateway/beliefs_test.go
@@ -13,7 +13,7 @@
 
 // entry is a target as its entry tells it.
 func entry(name string, revision uint64) catalog.Target {
-	return catalog.Target{Name: name, Revision: revision, Service: "s", Models: []catalog.ModelVersion{{Model: "m", Version: 1}}}.Identify()
+	return catalog.Target{Name: name, Revision: revision, Service: "s", Models: []catalog.ModelVersion{{Model: "m", Version: 1}}}.WithID()
 }
 
 var at0 = time.Unix(1000, 0)
@@ -33,7 +33,7 @@
 func TestConfigNeverBack(t *testing.T) {
 	is := is.New(t)
 	c := &control{log: &log.Logger{Handler: discard.Default}, now: func() time.Time { return at0 }}
-	newer, older := catalog.NewConfig(catalog.Draft{Version: 7}), catalog.NewConfig(catalog.Draft{Version: 5})
+	newer, older := catalog.NewConfig(catalog.ConfigSpec{Version: 7}), catalog.NewConfig(catalog.ConfigSpec{Version: 5})
 	configRead{cfg: newer, from: fromPeer}.apply(c)
 	configRead{cfg: older, from: fromStore}.apply(c)
 	is.Equal(c.cfg.Version, uint64(7))
@@ -57,9 +57,9 @@
 	tt := newTargets(&log.Logger{Handler: discard.Default}, "e")
 	newer := entry("b", 2)
 	newer.Models = []catalog.ModelVersion{{Model: "m", Version: 2}}
-	tt.List(5, []catalog.Target{entry("a", 1), newer}, nil, at0)
-	tt.Change(6, nil, []string{"a"}, at0)
-	v := &View{Targets: map[string]*catalog.Target{"b": &newer}, Departed: tt.Departed()}
+	tt.ApplyList(5, []catalog.Target{entry("a", 1), newer}, nil, at0)
+	tt.ApplyChanges(6, nil, []string{"a"}, at0)
+	v := &View{Targets: map[string]*catalog.Target{"b": &newer}, Departed: tt.Departures()}
 	is.Equal(oldestServed(v, at0.Add(lingerTime-time.Millisecond))["m"], uint64(1))
 	is.Equal(oldestServed(v, at0.Add(lingerTime))["m"], uint64(2))
 }
--- a/internal/gateway/cache.go
+++ b/internal/gateway/cache.go
@@ -11,7 +11,7 @@
 
 	"github.com/shedhoist/shedhoist/internal/catalog"
 	"github.com/shedhoist/shedhoist/internal/core/stock"
-	"github.com/shedhoist/shedhoist/internal/loads"
+	"github.com/shedhoist/shedhoist/internal/loadreport"
 	"github.com/shedhoist/shedhoist/internal/metric"
 	"github.com/shedhoist/shedhoist/internal/wait"
 )
@@ -295,7 +295,7 @@
 }
 
 // isLate says whether a save of a part is late: this instance's own, or another's.
-func (c *cacheDirectory) isLate(k stock.Key, own []loads.Key, now time.Time) bool {
+func (c *cacheDirectory) isLate(k stock.Key, own []loadreport.Key, now time.Time) bool {
 	key := partKey(k)
 	return slices.Contains(own, key) || c.g.lateSaves.Has(key, now)
 }
@@ -313,7 +313,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.g.now()
-	keep = keep && len(c.late(now)) < loads.MostLateSaves
+	keep = keep && len(c.late(now)) < loadreport.MaxPendingSaves
 	out.parts = make([]PartPlan, len(parts))
 	for i, p := range parts[:len(parts)-1] {
 		key := stock.Key{Salt: salt, Part: p.ID}
@@ -378,7 +378,7 @@
 	var places []stock.Place
 	for _, s := range stores {
 		if sh := c.inventories[s.Address]; sh != nil && sh.Savable(key, now, bounds) {
-			places = append(places, stock.Place{Address: s.Address, Capacity: s.Capacity, Used: sh.Used(), FirstByte: s.FirstByte, Near: near && s.Zone == zone})
+			places = append(places, stock.Place{Address: s.Address, Capacity: s.Capacity, Used: sh.Used(), FirstByte: s.TransferLatency, Near: near && s.Zone == zone})
 		}
 	}
 	if i := stock.Home(key, tokens, head, places); i >= 0 {
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -7,7 +7,7 @@
 
 	"github.com/shedhoist/shedhoist/internal/catalog"
 	"github.com/shedhoist/shedhoist/internal/core/place"
-	"github.com/shedhoist/shedhoist/internal/loads"
+	"github.com/shedhoist/shedhoist/internal/loadreport"
 	"github.com/shedhoist/shedhoist/internal/metric"
 	"github.com/shedhoist/shedhoist/internal/problem"
 )
@@ -21,9 +21,9 @@
 
 // pick decides on the next attempt: its target, or nil if there is to be none.
 func (x *exchange) pick() (*catalog.Target, place.Decision) {
-	resting := x.g.ejected.Sick()
+	resting := x.g.ejected.EjectedForSelection()
 	candidates, serving := x.view.Candidates[x.service], x.view.Serving[x.service]
-	x.dark, x.restEnds = x.g.darkNow(serving), x.g.ejected.Asked()
+	x.dark, x.restEnds = x.g.darkNow(serving), x.g.ejected.Backoffs()
 	if len(candidates) < len(serving) && x.countFit(candidates, resting) < leastFit {
 		candidates = x.widen(serving, resting)
 	}
@@ -35,12 +35,12 @@
 			return nil, d
 		}
 		t := candidates[d.Index]
-		if x.g.ejected.Asks(t.ID) {
-			x.restEnds = x.g.ejected.Asked()
+		if x.g.ejected.InBackoff(t.ID) {
+			x.restEnds = x.g.ejected.Backoffs()
 			options[d.Index].AsksRest = true // another request was told meanwhile
 			continue
 		}
-		if !options[d.Index].Resting && !x.g.ejected.Try(t.ID) {
+		if !options[d.Index].Resting && !x.g.ejected.AllowProbe(t.ID) {
 			options[d.Index].Resting = true // another request tries it
 			continue
 		}
@@ -86,7 +86,7 @@
 		return false
 	}
 	p := x.call.Prompt
-	return p == nil || t.VersionOf(p.Model) >= max(x.view.Named[p.Model].Version, 1)
+	return p == nil || t.WeightVersion(p.Model) >= max(x.view.Named[p.Model].Version, 1)
 }
 
 // asksRest says whether a target wants no requests, as of this attempt.
@@ -141,11 +141,11 @@
 		o := place.Target{ID: t.Name, Zone: t.Zone, Runs: int(load.Runs.Load()), Excluded: x.tried(t), Resting: slices.Contains(resting, t.ID), Dark: x.dark[t.Zone], AsksRest: x.asksRest(t)}
 		o.Closed, o.Pull = x.closed(t, now)
 		if p := x.call.Prompt; p != nil {
-			version := t.VersionOf(p.Model)
+			version := t.WeightVersion(p.Model)
 			o.Unfit = version == 0
 			o.BehindFor = x.view.Named[p.Model].behindFor(version, now)
 			works[i] = x.workAt(t, version, now)
-			o.Capacity = x.view.Config.MemoryOf(t.Service)
+			o.Capacity = x.view.Config.TargetMemory(t.Service)
 			o.InMemory = int(load.Memory.Load()) + others[i].Memory
 		}
 		works[i].AheadTokens = int(load.Tokens.Load()) + others[i].Tokens
@@ -160,13 +160,13 @@
 }
 
 // othersAt is what the other instances have under way at the targets.
-func (x *exchange) othersAt(targets []*catalog.Target, now time.Time) []loads.Amount {
+func (x *exchange) othersAt(targets []*catalog.Target, now time.Time) []loadreport.Work {
 	if !x.g.settings().Policy.PeerLoads {
-		return make([]loads.Amount, len(targets))
+		return make([]loadreport.Work, len(targets))
 	}
-	keys := make([]loads.Key, len(targets))
+	keys := make([]loadreport.Key, len(targets))
 	for i, t := range targets {
-		keys[i] = loads.KeyOf(t.ID)
+		keys[i] = loadreport.KeyOf(t.ID)
 	}
 	return x.g.others.At(keys, now)
 }
@@ -183,7 +183,7 @@
 	if x.call.Prompt != nil {
 		return engineCrowdMS
 	}
-	return plainCrowd * float64(x.route.Objective) / float64(time.Millisecond)
+	return plainCrowd * float64(x.route.LatencyObjective) / float64(time.Millisecond)
 }
 
 // comeBackFull is when to come back to targets whose memory was full, from half of it to one
--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -56,7 +56,7 @@
 
 // isCold says whether a target is cold, as far as is known.
 func (v *View) isCold(t *catalog.Target, now time.Time) bool {
-	if now.Before(t.ColdUntil) {
+	if now.Before(t.WarmupUntil) {
 		return true
 	}
 	released, ok := v.Released[t.Zone]
@@ -64,7 +64,7 @@
 		return false
 	}
 	svc := v.Config.Services[t.Service]
-	return svc != nil && now.Before(released.Add(svc.ColdFor))
+	return svc != nil && now.Before(released.Add(svc.Warmup))
 }
 
 // coldQuota is how many requests a second this instance may send to a target now; limited
@@ -74,7 +74,7 @@
 		return 0, false
 	}
 	svc, set := x.view.Config.Services[t.Service], x.g.settings()
-	if svc == nil || svc.ColdRate <= 0 {
+	if svc == nil || svc.WarmupRate <= 0 {
 		return 0, false
 	}
 	if !set.Policy.ColdSenders || now.Before(x.view.SettledAt) {
@@ -96,7 +96,7 @@
 // coldLimit is how many requests a second a target may get from all while it is cold.
 func (x *exchange) coldLimit(t *catalog.Target) float64 {
 	set := x.g.settings()
-	return x.view.Config.Services[t.Service].ColdRate*max(set.ColdOverage, 1) + set.ColdSlack
+	return x.view.Config.Services[t.Service].WarmupRate*max(set.ColdOverage, 1) + set.ColdSlack
 }
 
 // enter takes a place at the target of the next attempt, if it is cold; false if there is
--- a/internal/gateway/cold_test.go
+++ b/internal/gateway/cold_test.go
@@ -30,7 +30,7 @@
 func (c coldCodec) Config(value []byte) (*catalog.Config, error) {
 	cfg, err := c.evacuationCodec.Config(value)
 	if err == nil {
-		cfg.Services["s"].ColdFor, cfg.Services["s"].ColdRate = memoryColdFor, memoryColdRate
+		cfg.Services["s"].Warmup, cfg.Services["s"].WarmupRate = memoryColdFor, memoryColdRate
 	}
 	return cfg, err
 }
@@ -73,7 +73,7 @@
 	m.mu.Lock()
 	born := m.born
 	m.mu.Unlock()
-	m.f.store.set(memoryTargets, m.name, catalog.Target{Service: "s", Address: m.name + ":1", Zone: m.zone, Start: born, ColdMS: (memoryColdFor - since).Milliseconds()})
+	m.f.store.set(memoryTargets, m.name, catalog.Target{Service: "s", Address: m.name + ":1", Zone: m.zone, Start: born, WarmupMS: (memoryColdFor - since).Milliseconds()})
 }
 
 // TestColdTargets guards against more requests in a second than a cold target bears, and against none.
--- a/internal/gateway/collector.go
+++ b/internal/gateway/collector.go
@@ -22,7 +22,7 @@
 	settleTime = time.Second
 	// lingerTime is how long a target that left the list counts as serving: others
 	// may hold on to it for registry.ReturnTime, with a fetch under way.
-	lingerTime = registry.ReturnTime + longestFetch
+	lingerTime = registry.ReregistrationTimeout + longestFetch
 	// freeTime is how long an order to free may be under way.
 	freeTime = time.Second
 	// freeBatch is how many parts one call frees.
--- a/internal/gateway/configuration_test.go
+++ b/internal/gateway/configuration_test.go
@@ -49,7 +49,7 @@
 	is := is.New(t)
 	c := controlOf("e-1", "z0")
 	c.now = func() time.Time { return at0 }
-	c.cfg, c.raw = catalog.NewConfig(catalog.Draft{Version: 3}), make([]byte, 100)
+	c.cfg, c.raw = catalog.NewConfig(catalog.ConfigSpec{Version: 3}), make([]byte, 100)
 	teller, holder := member.Member{Name: "e-2"}, member.Member{Name: "e-3"}
 
 	short := ConfigWord{Version: 5, Bytes: longConfig}
@@ -66,7 +66,7 @@
 	c.hearConfig(Have{Config: 7, Newest: long}, holder)
 	is.Equal(c.heard.holders, []member.Member{holder})
 
-	configRead{cfg: catalog.NewConfig(catalog.Draft{Version: 7}), raw: make([]byte, longConfig+1), from: fromStore}.apply(c)
+	configRead{cfg: catalog.NewConfig(catalog.ConfigSpec{Version: 7}), raw: make([]byte, longConfig+1), from: fromStore}.apply(c)
 	is.Equal(c.have().Newest, long)
 	is.True(c.newsFor(Known{Config: 3}, true) == nil) // not even for one that has no store
 }
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -108,7 +108,7 @@
 
 func (e targetsListed) apply(c *control) {
 	c.log.WithField("revision", uint64(e.revision)).WithField("targets", len(e.targets)).WithField("from", string(e.from)).Info("targets listed")
-	c.targets.List(e.revision, e.targets, e.vanished, c.now())
+	c.targets.ApplyList(e.revision, e.targets, e.vanished, c.now())
 }
 
 // targetsChanged brings changes up to a revision.
@@ -118,7 +118,9 @@
 	gone     []string // names
 }
 
-func (e targetsChanged) apply(c *control) { c.targets.Change(e.revision, e.present, e.gone, c.now()) }
+func (e targetsChanged) apply(c *control) {
+	c.targets.ApplyChanges(e.revision, e.present, e.gone, c.now())
+}
 
 // unknownAge is how long ago a version is taken to have been named that this
 // process finds at its start: it may have missed most of the rollout's time. What
@@ -161,7 +163,7 @@
 	at catalog.ModelVersion
 }
 
-func (e targetServes) apply(c *control) { c.targets.Serves(e.id, e.at) }
+func (e targetServes) apply(c *control) { c.targets.ApplyWeightVersion(e.id, e.at) }
 
 // versionsNamed brings named weight versions. A version never goes back.
 type versionsNamed struct {
@@ -201,7 +203,7 @@
 	c.storeOK = e.ok
 	c.members.SetDetached(!e.ok)
 	if e.ok {
-		c.targets.ContactRegained(c.now())
+		c.targets.StoreReconnected(c.now())
 		c.log.Info("object store reached")
 		return
 	}
@@ -224,7 +226,7 @@
 	}
 	c.rollout, c.ownNews, c.heardOf = e.news, e.own, c.now()
 	for _, a := range e.news.Arrived {
-		c.targets.Serves(a.Target, a.Serves)
+		c.targets.ApplyWeightVersion(a.Target, a.Serves)
 	}
 }
 
--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -75,7 +75,7 @@
 	broken := check.broken
 	check.crashed, check.broken = refused, nil
 	if refused {
-		c.g.ejected.Rest(t.ID, crashRest)
+		c.g.ejected.Eject(t.ID, crashRest)
 		time.AfterFunc(crashKept, func() { c.forget(t.ID) })
 	} else {
 		delete(c.m, t.ID)
--- a/internal/gateway/darkzone.go
+++ b/internal/gateway/darkzone.go
@@ -174,7 +174,7 @@
 func (v *View) inZone(zone string) []*catalog.Target {
 	var out []*catalog.Target
 	for _, t := range v.Targets {
-		if t.Zone == zone && !t.Leaves() {
+		if t.Zone == zone && !t.IsLeaving() {
 			out = append(out, t)
 		}
 	}
--- a/internal/gateway/evacuate.go
+++ b/internal/gateway/evacuate.go
@@ -56,7 +56,7 @@
 
 func (e zonesListed) apply(c *control) {
 	before := c.evacuated.Names()
-	if c.evacuated.List(e.at, e.changed, e.zones) {
+	if c.evacuated.ApplyList(e.at, e.changed, e.zones) {
 		c.noteEvacuated(before, e.from)
 	}
 }
@@ -69,7 +69,7 @@
 
 func (e zonesChanged) apply(c *control) {
 	before := c.evacuated.Names()
-	if c.evacuated.Change(e.at, e.changes) {
+	if c.evacuated.ApplyChanges(e.at, e.changes) {
 		c.noteEvacuated(before, fromStore)
 	}
 }
@@ -86,7 +86,7 @@
 		}
 	}
 	c.released = released
-	c.log.WithField("zones", now).WithField("before", before).WithField("revision", uint64(c.evacuated.Changed())).WithField("from", string(from)).
+	c.log.WithField("zones", now).WithField("before", before).WithField("revision", uint64(c.evacuated.LastChange())).WithField("from", string(from)).
 		Info("evacuated zones changed")
 }
 
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -456,7 +456,7 @@
 	if err := json.Unmarshal(value, &d); err != nil {
 		return nil, err
 	}
-	return catalog.NewConfig(catalog.Draft{Version: d.Version, Services: []catalog.Service{{Name: "s"}},
+	return catalog.NewConfig(catalog.ConfigSpec{Version: d.Version, Services: []catalog.Service{{Name: "s"}},
 		Customers: []catalog.CustomerKeys{{Customer: catalog.Customer{Name: "one"}, Keys: d.Keys}}}), nil
 }
 
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -278,7 +278,7 @@
 			bad = append(bad, err)
 		}
 		t.Revision = uint64(o.Version)
-		out = append(out, t.Identify())
+		out = append(out, t.WithID())
 	}
 	if len(bad) > 0 {
 		g.log.WithError(bad[0]).WithField("entries", len(bad)).Error("entries of targets not readable")
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -26,7 +26,7 @@
 	"github.com/shedhoist/shedhoist/internal/core/place"
 	"github.com/shedhoist/shedhoist/internal/core/quarantine"
 	"github.com/shedhoist/shedhoist/internal/drain"
-	"github.com/shedhoist/shedhoist/internal/loads"
+	"github.com/shedhoist/shedhoist/internal/loadreport"
 	"github.com/shedhoist/shedhoist/internal/logline"
 	"github.com/shedhoist/shedhoist/internal/metric"
 	"github.com/shedhoist/shedhoist/internal/netx"
@@ -107,9 +107,9 @@
 	// predictor is shared by all requests.
 	predictorMu sync.Mutex
 	predictor   *place.Predictor
-	others      *loads.Heard
-	silences    *loads.Silences
-	lateSaves   *loads.LateSaves
+	others      *loadreport.PeerWork
+	silences    *loadreport.UnresponsiveTargets
+	lateSaves   *loadreport.PendingSaves
 	seen        seenBook
 	cache       *cacheDirectory
 	rollout     *rollout
@@ -138,7 +138,7 @@
 	g.crashes = &crashes{g: g, m: map[string]*crashCheck{}}
 	g.ejected = breaker.New(g.now)
 	g.predictor = place.NewPredictor()
-	g.others, g.silences, g.lateSaves = loads.NewHeard(loadAge), loads.NewSilences(loadAge), loads.NewLateSaves(loadAge)
+	g.others, g.silences, g.lateSaves = loadreport.NewPeerWork(loadAge), loadreport.NewUnresponsiveTargets(loadAge), loadreport.NewPendingSaves(loadAge)
 	g.cache = newCacheDirectory(g)
 	g.rollout = newRollout(g)
 	g.budgets.g = g
@@ -249,7 +249,7 @@
 	c := &control{log: g.log, now: g.now, named: map[string]Named{}, members: member.New(params, self, rand.IntN), storeOK: true, rolloutWithin: set.RolloutWithin, configWithin: set.ConfigWithin,
 		followsEvacuations: set.EvacuateWithin > 0,
 		targets:            newTargets(g.log, set.Name), fresh: g.fresh, settledAt: g.now().Add(coldSettle)}
-	c.targets.OnNextLife(func(n registry.NextLife) { g.nextLife(c, n) })
+	c.targets.OnRestart(func(n registry.Restart) { g.nextLife(c, n) })
 	g.start(func() { g.runControl(g.ctx, c) })
 	g.followAll(g.ctx)
 	for _, f := range [...]func(context.Context){g.greetSeeds, g.askWhileCutOff, g.askAges, g.bringConfig, g.keepBootstrap, g.tidy, g.keepQuarantine, g.tellCrashes, g.tellLoads, g.rollOut, g.cache.run, g.cache.pull, g.cache.collectGarbage} {
@@ -297,7 +297,7 @@
 		}
 		keep := func(name string) bool { return known[name] }
 		g.upstream.work.Keep(keep)
-		g.ejected.Keep(keep)
+		g.ejected.Retain(keep)
 		g.cold.Keep(keep)
 		g.predictorMu.Lock()
 		g.predictor.Keep(keep)
--- a/internal/gateway/late_saves.go
+++ b/internal/gateway/late_saves.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/shedhoist/shedhoist/internal/core/stock"
-	"github.com/shedhoist/shedhoist/internal/loads"
+	"github.com/shedhoist/shedhoist/internal/loadreport"
 )
 
 // lateAfter is how long a save may be under way before the others are told of it: they know by
@@ -14,18 +14,18 @@
 
 // partKey names a part in words of late saves. If two parts share one, a save of either makes
 // both late.
-func partKey(k stock.Key) loads.Key { return loads.KeyOf(k.Salt + "/" + k.Part) }
+func partKey(k stock.Key) loadreport.Key { return loadreport.KeyOf(k.Salt + "/" + k.Part) }
 
 // ownLate are the parts of this instance's own late saves.
-func (c *cacheDirectory) ownLate() []loads.Key {
+func (c *cacheDirectory) ownLate() []loadreport.Key {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.late(c.g.now())
 }
 
 // late is ownLate at a time; c.mu is held.
-func (c *cacheDirectory) late(now time.Time) []loads.Key {
-	var out []loads.Key
+func (c *cacheDirectory) late(now time.Time) []loadreport.Key {
+	var out []loadreport.Key
 	after := lateAfter
 	if c.g.view.Load().Tree.small {
 		after = 0
@@ -40,7 +40,7 @@
 func (c *cacheDirectory) signs(target string) stock.Signs {
 	own := &c.g.upstream.work.Of(target).Silence
 	now := c.g.now()
-	return stock.Signs{Heard: own.Heard(), Silent: own.Among(c.g.silences.Since(loads.KeyOf(target), now), now)}
+	return stock.Signs{Heard: own.Heard(), Silent: own.Among(c.g.silences.Since(loadreport.KeyOf(target), now), now)}
 }
 
 // beginSave notes what a request asks a target to save; nil: nothing.
@@ -82,8 +82,8 @@
 
 // shareLate is what a neighbour is told of late saves: all that this instance knows of but what
 // the neighbour hears for itself.
-func (n neighbour) shareLate(own []loads.Key, others map[string][]loads.Key) []loads.Key {
-	told := map[loads.Key]bool{}
+func (n neighbour) shareLate(own []loadreport.Key, others map[string][]loadreport.Key) []loadreport.Key {
+	told := map[loadreport.Key]bool{}
 	for _, k := range own {
 		told[k] = true
 	}
@@ -95,7 +95,7 @@
 			told[k] = true
 		}
 	}
-	out := make([]loads.Key, 0, len(told))
+	out := make([]loadreport.Key, 0, len(told))
 	for k := range told {
 		out = append(out, k)
 	}
--- a/internal/gateway/leaving.go
+++ b/internal/gateway/leaving.go
@@ -19,7 +19,7 @@
 const mostLeavers = 16
 
 // Leavers are lives of targets that have said that they leave.
-type Leavers []registry.Life
+type Leavers []registry.Incarnation
 
 // UnmarshalCBOR implements cbor.Unmarshaler. What can't be read is left out, and takes nothing
 // else of its message along.
@@ -30,7 +30,7 @@
 		return nil
 	}
 	for _, word := range words[:min(len(words), mostLeavers)] {
-		var life registry.Life
+		var life registry.Incarnation
 		if cbor.Unmarshal(word, &life) == nil && life.Name != "" && life.Start >= 0 {
 			*l = append(*l, life)
 		}
@@ -51,22 +51,22 @@
 
 // hearLeaving takes a target's own word that it leaves. All its answers give it; the first one
 // changes the belief.
-func (g *Gateway) hearLeaving(t *catalog.Target, by registry.Teller) {
+func (g *Gateway) hearLeaving(t *catalog.Target, by registry.Source) {
 	known := g.view.Load().Targets[t.ID]
-	if known != nil && known.SaidLeaving && !known.SaidInherited && by.Sent.Sub(known.SaidTo) < followEvery {
+	if known != nil && known.LeavingNotice && !known.NoticeInherited && by.RequestSent.Sub(known.NoticeRequestSent) < followEvery {
 		return
 	}
-	g.send(targetLeaves{life: registry.LifeOf(t), by: by})
+	g.send(targetLeaves{life: registry.IncarnationOf(t), by: by})
 }
 
 // targetLeaves brings a target's own word that it leaves.
 type targetLeaves struct {
-	life registry.Life
-	by   registry.Teller
+	life registry.Incarnation
+	by   registry.Source
 }
 
 func (e targetLeaves) apply(c *control) {
-	if c.targets.Leaves(e.life, e.by, c.now()) {
+	if c.targets.ApplyLeavingNotice(e.life, e.by, c.now()) {
 		c.leaving.heard++
 		c.leaving.own++
 		c.leaving.turns = nil
@@ -75,9 +75,9 @@
 
 // nextLife takes that a target has started again, with the rest that its new life has asked for
 // already.
-func (g *Gateway) nextLife(c *control, n registry.NextLife) {
+func (g *Gateway) nextLife(c *control, n registry.Restart) {
 	now := c.now()
-	g.ejected.Pass(n.Before, n.ID, registry.InheritedMost, func(sent time.Time) bool { return registry.Answered(n.Start, sent, now) })
+	g.ejected.TransferBackoff(n.PreviousID, n.ID, registry.InheritedNoticeTTL, func(sent time.Time) bool { return registry.StartedBeforeRequest(n.Start, sent, now) })
 }
 
 // leaversTold brings the same by a peer.
@@ -92,7 +92,7 @@
 // kept, since peers may know the list earlier.
 func (c *control) hearLeaving(lives Leavers, from member.Member) {
 	for _, l := range lives {
-		if c.targets.Leaves(l, registry.Teller{From: string(fromPeer), By: from.Name}, c.now()) {
+		if c.targets.ApplyLeavingNotice(l, registry.Source{Channel: string(fromPeer), Reporter: from.Name}, c.now()) {
 			c.leaving.heard++
 			c.leaving.turns = nil
 		}
@@ -106,7 +106,7 @@
 // don't. Of more than fit into a message those heard of last go first, and each message to the
 // peer goes on where the one before ended.
 func (c *control) tellLeavingTo(peer string) Leavers {
-	all := c.targets.SaidOnly()
+	all := c.targets.LeavingByNotice()
 	if len(all) <= mostLeavers {
 		c.leaving.turns = nil
 		return all
--- a/internal/gateway/leaving_lives_test.go
+++ b/internal/gateway/leaving_lives_test.go
@@ -124,21 +124,21 @@
 		is := is.New(t)
 		clock := func() time.Time { return time.UnixMilli(30_000) }
 		g := &Gateway{now: clock, ejected: breaker.New(clock), log: &log.Logger{Handler: discard.Default}}
-		meant := catalog.Target{Name: "i-1", Start: before}.Identify()
-		listed := catalog.Target{Name: "i-1", Start: next}.Identify()
+		meant := catalog.Target{Name: "i-1", Start: before}.WithID()
+		listed := catalog.Target{Name: "i-1", Start: next}.WithID()
 		g.view.Store(&View{Targets: map[string]*catalog.Target{listed.ID: &listed}})
-		g.hearWord(&meant, Word{Rest: time.Second}, registry.Teller{From: string(fromAnswer), Sent: time.UnixMilli(sent)})
-		is.Equal(g.ejected.Asked(), map[string]time.Time{want: time.UnixMilli(31_000)})
+		g.hearWord(&meant, Word{Rest: time.Second}, registry.Source{Channel: string(fromAnswer), RequestSent: time.UnixMilli(sent)})
+		is.Equal(g.ejected.Backoffs(), map[string]time.Time{want: time.UnixMilli(31_000)})
 	}
 }
 
 // TestOwnWordAfterInherited guards against a life's own word that it leaves being taken for the one it
 // has inherited, which ends by itself.
 func TestOwnWordAfterInherited(t *testing.T) {
-	for name, own := range map[string]func(sent time.Time) registry.Teller{
-		"in a report": func(time.Time) registry.Teller { return registry.Teller{From: string(fromReport)} },
-		"in an answer": func(sent time.Time) registry.Teller {
-			return registry.Teller{From: string(fromAnswer), Sent: sent.Add(followEvery / 4)}
+	for name, own := range map[string]func(sent time.Time) registry.Source{
+		"in a report": func(time.Time) registry.Source { return registry.Source{Channel: string(fromReport)} },
+		"in an answer": func(sent time.Time) registry.Source {
+			return registry.Source{Channel: string(fromAnswer), RequestSent: sent.Add(followEvery / 4)}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -147,15 +147,15 @@
 				f := newLeavingFleet(t, 1, 1)
 				defer f.end()
 				g, s := f.gates[0], f.speakers[0]
-				next := catalog.Target{Name: s.name, Start: s.born}.Identify()
-				before := catalog.Target{Name: s.name, Start: s.born - 1000}.Identify()
+				next := catalog.Target{Name: s.name, Start: s.born}.WithID()
+				before := catalog.Target{Name: s.name, Start: s.born - 1000}.WithID()
 				sent := time.Now()
-				g.hearWord(&before, Word{Leaving: true}, registry.Teller{From: string(fromAnswer), Sent: sent})
+				g.hearWord(&before, Word{Leaving: true}, registry.Source{Channel: string(fromAnswer), RequestSent: sent})
 				synctest.Wait()
-				is.True(g.view.Load().Targets[next.ID].SaidInherited)
+				is.True(g.view.Load().Targets[next.ID].NoticeInherited)
 				g.hearWord(&next, Word{Leaving: true}, own(sent))
-				time.Sleep(registry.InheritedMost + 5*time.Second)
-				is.True(g.view.Load().Targets[next.ID].SaidLeaving)
+				time.Sleep(registry.InheritedNoticeTTL + 5*time.Second)
+				is.True(g.view.Load().Targets[next.ID].LeavingNotice)
 			})
 		})
 	}
@@ -168,9 +168,9 @@
 	is := is.New(t)
 	clock := func() time.Time { return time.UnixMilli(30_000) }
 	g := &Gateway{now: clock, ejected: breaker.New(clock), log: &log.Logger{Handler: discard.Default}}
-	meant := catalog.Target{Name: "i-1", Start: before}.Identify()
-	listed := catalog.Target{Name: "i-1", Start: next}.Identify()
+	meant := catalog.Target{Name: "i-1", Start: before}.WithID()
+	listed := catalog.Target{Name: "i-1", Start: next}.WithID()
 	g.view.Store(&View{Targets: map[string]*catalog.Target{listed.ID: &listed}})
-	g.hearWord(&meant, Word{Rest: time.Hour}, registry.Teller{From: string(fromAnswer), Sent: time.UnixMilli(25_000)})
-	is.Equal(g.ejected.Asked(), map[string]time.Time{listed.ID: clock().Add(registry.InheritedMost)})
+	g.hearWord(&meant, Word{Rest: time.Hour}, registry.Source{Channel: string(fromAnswer), RequestSent: time.UnixMilli(25_000)})
+	is.Equal(g.ejected.Backoffs(), map[string]time.Time{listed.ID: clock().Add(registry.InheritedNoticeTTL)})
 }
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -620,7 +620,7 @@
 		f := newLeavingFleet(t, 3, 3)
 		defer f.end()
 		s := f.speakers[0]
-		target := f.gates[0].view.Load().Targets[catalog.Target{Name: s.name, Start: s.born}.Identify().ID]
+		target := f.gates[0].view.Load().Targets[catalog.Target{Name: s.name, Start: s.born}.WithID().ID]
 		f.gates[0].engines = leavingEngines{start: s.born}
 		_, err := f.gates[0].rollout.report(t.Context(), target)
 		is.NoErr(err)
@@ -638,7 +638,7 @@
 		f := newLeavingFleet(t, 1, 2)
 		defer f.end()
 		s := f.speakers[0]
-		target := f.gates[0].view.Load().Targets[catalog.Target{Name: s.name, Start: s.born}.Identify().ID]
+		target := f.gates[0].view.Load().Targets[catalog.Target{Name: s.name, Start: s.born}.WithID().ID]
 		f.gates[0].engines = leavingEngines{start: s.born - 1000}
 		_, err := f.gates[0].rollout.report(t.Context(), target)
 		is.True(err != nil)
--- a/internal/gateway/leaving_turns_test.go
+++ b/internal/gateway/leaving_turns_test.go
@@ -26,11 +26,11 @@
 			for _, l := range lives[:leavers] {
 				targetLeaves{life: l}.apply(c)
 			}
-			told := map[string]map[registry.Life]bool{}
+			told := map[string]map[registry.Incarnation]bool{}
 			for range messages {
 				for _, peer := range peers {
 					if told[peer] == nil {
-						told[peer] = map[registry.Life]bool{}
+						told[peer] = map[registry.Incarnation]bool{}
 					}
 					for _, l := range tell(c, peer) {
 						told[peer][l] = true
--- a/internal/gateway/leaving_words_test.go
+++ b/internal/gateway/leaving_words_test.go
@@ -17,13 +17,13 @@
 )
 
 // leaverControl is an instance that knows n targets.
-func leaverControl(n int) (*control, []registry.Life) {
+func leaverControl(n int) (*control, []registry.Incarnation) {
 	c := controlOf("e-0", "z0")
 	targets := targetsOf(n, 3)
-	c.targets.List(registryRevision, targets, nil, at0)
-	lives := make([]registry.Life, n)
+	c.targets.ApplyList(registryRevision, targets, nil, at0)
+	lives := make([]registry.Incarnation, n)
 	for i := range targets {
-		lives[i] = registry.LifeOf(&targets[i])
+		lives[i] = registry.IncarnationOf(&targets[i])
 	}
 	return c, lives
 }
@@ -42,7 +42,7 @@
 	for _, l := range lives[:40] {
 		targetLeaves{life: l}.apply(c)
 	}
-	told := map[registry.Life]bool{}
+	told := map[registry.Incarnation]bool{}
 	for range 3 {
 		words := c.tellLeaving()
 		is.True(len(words) <= mostLeavers)
@@ -63,8 +63,8 @@
 	a, lives := leaverControl(3)
 	b, _ := leaverControl(3)
 	b.targets = registry.New(registry.Options{Log: &log.Logger{Handler: lines, Level: log.InfoLevel}, Rank: func(string) uint64 { return 1 }})
-	b.targets.List(registryRevision, targetsOf(3, 3), nil, at0)
-	targetLeaves{life: lives[1], by: registry.Teller{From: string(fromAnswer), By: "r-1"}}.apply(a)
+	b.targets.ApplyList(registryRevision, targetsOf(3, 3), nil, at0)
+	targetLeaves{life: lives[1], by: registry.Source{Channel: string(fromAnswer), Reporter: "r-1"}}.apply(a)
 	is.Equal(a.leaving, leavingWords{heard: 1, own: 1})
 	written := len(lines.Entries)
 	for range 5 {
@@ -123,11 +123,13 @@
 	g := &Gateway{events: make(chan event, 4)}
 	target := &c.targets.Entries()[0].Target
 	g.view.Store(c.view())
-	g.hearWord(target, Word{Leaving: true}, registry.Teller{})
+	g.hearWord(target, Word{Leaving: true}, registry.Source{})
 	is.Equal(len(g.events), 1)
 	targetLeaves{life: lives[0]}.apply(c)
 	g.view.Store(c.view())
-	is.Equal(testing.AllocsPerRun(100, func() { g.hearWord(target, Word{Leaving: true}, registry.Teller{From: string(fromAnswer), By: "r-1"}) }), 0.0)
+	is.Equal(testing.AllocsPerRun(100, func() {
+		g.hearWord(target, Word{Leaving: true}, registry.Source{Channel: string(fromAnswer), Reporter: "r-1"})
+	}), 0.0)
 	is.Equal(len(g.events), 1)
 }
 
@@ -138,16 +140,16 @@
 	c, _ := leaverControl(1)
 	draining := targetsOf(1, 3)
 	draining[0].Leaving, draining[0].Revision = true, registryRevision+1
-	c.targets.Change(registryRevision+1, draining, nil, at0)
+	c.targets.ApplyChanges(registryRevision+1, draining, nil, at0)
 	g := &Gateway{events: make(chan event, 4)}
 	g.view.Store(c.view())
-	g.hearWord(&draining[0], Word{Leaving: true}, registry.Teller{})
+	g.hearWord(&draining[0], Word{Leaving: true}, registry.Source{})
 	is.Equal(len(g.events), 1)
 	(<-g.events).apply(c)
 	is.Equal(c.leaving, leavingWords{}) // no news to peers: the entry tells them
 	ready := targetsOf(1, 3)
 	ready[0].Revision = registryRevision + 2
-	c.targets.Change(registryRevision+2, ready, nil, at0)
+	c.targets.ApplyChanges(registryRevision+2, ready, nil, at0)
 	is.Equal(len(c.view().Serving["s"]), 0)
 }
 
@@ -155,7 +157,7 @@
 // along.
 func TestUnreadableLeavers(t *testing.T) {
 	is := is.New(t)
-	good := registry.Life{Name: "i-1", Start: 7}
+	good := registry.Incarnation{Name: "i-1", Start: 7}
 	for name, words := range map[string]any{
 		"a text":          "words",
 		"a map":           map[int]int{1: 2},
@@ -186,7 +188,7 @@
 	is := is.New(t)
 	var words Leavers
 	for i := range mostLeavers {
-		words = append(words, registry.Life{Name: fmt.Sprintf("i-%010x", i), Start: time.Now().UnixMilli()})
+		words = append(words, registry.Incarnation{Name: fmt.Sprintf("i-%010x", i), Start: time.Now().UnixMilli()})
 	}
 	with, err := cbor.Marshal(Hello{Leaving: words})
 	is.NoErr(err)
@@ -200,7 +202,7 @@
 
 // FuzzLeavers: whatever stands there, the rest of the message is read, and the words are few.
 func FuzzLeavers(f *testing.F) {
-	for _, words := range []any{"x", []any{registry.Life{Name: "i-1", Start: 7}}, []any{1, nil}} {
+	for _, words := range []any{"x", []any{registry.Incarnation{Name: "i-1", Start: 7}}, []any{1, nil}} {
 		data, err := cbor.Marshal(words)
 		if err != nil {
 			f.Fatal(err)
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -7,7 +7,7 @@
 
 	"github.com/shedhoist/shedhoist/internal/core/member"
 	"github.com/shedhoist/shedhoist/internal/inflight"
-	"github.com/shedhoist/shedhoist/internal/loads"
+	"github.com/shedhoist/shedhoist/internal/loadreport"
 	"github.com/shedhoist/shedhoist/internal/wait"
 )
 
@@ -32,18 +32,18 @@
 // Loads is what an instance has under way at all targets. In a large fleet it includes
 // what the others have from whom the receiver does not hear but by way of this one.
 type Loads struct {
-	From    string       `cbor:"1,keyasint"`
-	Seq     uint64       `cbor:"2,keyasint"` // rises with each word of a process
-	Targets []loads.Load `cbor:"3,keyasint,omitempty"`
+	From    string                  `cbor:"1,keyasint"`
+	Seq     uint64                  `cbor:"2,keyasint"` // rises with each word of a process
+	Targets []loadreport.TargetWork `cbor:"3,keyasint,omitempty"`
 	// Silent are targets that answer nothing, by what is told in the same way.
-	Silent []loads.Silent `cbor:"4,keyasint,omitempty"`
+	Silent []loadreport.TargetAge `cbor:"4,keyasint,omitempty"`
 	// Heard are targets that others told to be silent and that have answered, MS ago.
-	Heard []loads.Silent `cbor:"6,keyasint,omitempty"`
+	Heard []loadreport.TargetAge `cbor:"6,keyasint,omitempty"`
 	// Seen is up to where the teller of a small fleet knows the cache stores: what it asked for
 	// before it knew as much, and is not over, is in Late.
 	Seen []StoreSeen `cbor:"7,keyasint,omitempty"`
 	// Late are parts whose saves are late, by what is told in the same way.
-	Late []loads.Key `cbor:"5,keyasint,omitempty"`
+	Late []loadreport.Key `cbor:"5,keyasint,omitempty"`
 }
 
 // Heard is the answer to Loads.
@@ -51,31 +51,31 @@
 
 // Loads takes a peer's word.
 func (h *peerHandler) Loads(req *Loads, _ *Heard) error {
-	h.g.others.Take(req.From, req.Seq, req.Targets, h.g.now())
-	h.g.silences.Take(req.From, req.Seq, req.Silent, h.g.now())
-	h.g.silences.TakeHeard(req.From, req.Seq, req.Heard, h.g.now())
-	h.g.lateSaves.Take(req.From, req.Seq, req.Late, h.g.now())
+	h.g.others.Apply(req.From, req.Seq, req.Targets, h.g.now())
+	h.g.silences.Apply(req.From, req.Seq, req.Silent, h.g.now())
+	h.g.silences.ApplyResponses(req.From, req.Seq, req.Heard, h.g.now())
+	h.g.lateSaves.Apply(req.From, req.Seq, req.Late, h.g.now())
 	h.g.seen.take(req.From, req.Seq, req.Seen, h.g.now()) // after Late
 	return nil
 }
 
 // ownLoads is what this instance has under way.
-func (g *Gateway) ownLoads() loads.Sums {
-	out := loads.Sums{}
+func (g *Gateway) ownLoads() loadreport.WorkByTarget {
+	out := loadreport.WorkByTarget{}
 	g.upstream.work.Each(func(target string, load *inflight.Load) {
-		out.Add(loads.KeyOf(target), loads.Amount{Tokens: int(load.Tokens.Load()), Memory: int(load.Memory.Load())})
+		out.Add(loadreport.KeyOf(target), loadreport.Work{Tokens: int(load.Tokens.Load()), Memory: int(load.Memory.Load())})
 	})
 	return out
 }
 
 // ownSilences are the targets that have answered this instance nothing for as long as an
 // answer may take.
-func (g *Gateway) ownSilences() []loads.Silent {
-	var out []loads.Silent
+func (g *Gateway) ownSilences() []loadreport.TargetAge {
+	var out []loadreport.TargetAge
 	now := g.now()
 	g.upstream.work.Each(func(target string, load *inflight.Load) {
-		if silent := load.Silence.For(now); silent >= answerDue && len(out) < loads.MostSilent {
-			out = append(out, loads.Silent{Target: loads.KeyOf(target), MS: silent.Milliseconds()})
+		if silent := load.Silence.For(now); silent >= answerDue && len(out) < loadreport.MaxUnresponsive {
+			out = append(out, loadreport.TargetAge{Target: loadreport.KeyOf(target), AgeMS: silent.Milliseconds()})
 		}
 	})
 	return out
@@ -83,24 +83,24 @@
 
 // ownHeard are the targets that others tell to be silent and that have answered this instance
 // since.
-func (g *Gateway) ownHeard(silences map[string][]loads.Silent) []loads.Silent {
-	var out []loads.Silent
+func (g *Gateway) ownHeard(silences map[string][]loadreport.TargetAge) []loadreport.TargetAge {
+	var out []loadreport.TargetAge
 	now := g.now()
-	since := map[loads.Key]int64{} // for how many ms
+	since := map[loadreport.Key]int64{} // for how many ms
 	for _, told := range silences {
 		for _, s := range told {
-			since[s.Target] = max(since[s.Target], s.MS)
+			since[s.Target] = max(since[s.Target], s.AgeMS)
 		}
 	}
 	if len(since) == 0 {
 		return nil
 	}
 	g.upstream.work.Each(func(target string, load *inflight.Load) {
-		k := loads.KeyOf(target)
+		k := loadreport.KeyOf(target)
 		ms, told := since[k]
 		ago := now.Sub(load.Silence.Heard()).Milliseconds()
-		if told && ago < ms && len(out) < loads.MostSilent {
-			out = append(out, loads.Silent{Target: k, MS: ago})
+		if told && ago < ms && len(out) < loadreport.MaxUnresponsive {
+			out = append(out, loadreport.TargetAge{Target: k, AgeMS: ago})
 		}
 	})
 	return out
@@ -119,17 +119,17 @@
 func (g *Gateway) tellLoads(ctx context.Context) {
 	told := map[string]bool{} // neighbours whose last word was not empty
 	for seq := uint64(1); wait.For(ctx, g.loadPace()); seq++ {
-		own, others := g.ownLoads(), g.others.Words(g.now())
-		silent, silences := g.ownSilences(), g.silences.Words(g.now())
-		heard, hearers := g.ownHeard(silences), g.silences.HeardWords(g.now())
+		own, others := g.ownLoads(), g.others.Reports(g.now())
+		silent, silences := g.ownSilences(), g.silences.Reports(g.now())
+		heard, hearers := g.ownHeard(silences), g.silences.ResponseReports(g.now())
 		seen := g.cache.ownSeen() // before the saves
-		late, lates := g.cache.ownLate(), g.lateSaves.Words(g.now())
+		late, lates := g.cache.ownLate(), g.lateSaves.Reports(g.now())
 		tree := g.view.Load().Tree
 		for _, n := range tree.neighbours() {
 			if tree.far(n.Member) && seq%otherZonesStep != 0 {
 				continue
 			}
-			l := &Loads{From: g.settings().Name, Seq: seq, Targets: n.share(own, others).Told(), Silent: n.shareSilences(silent, silences), Heard: n.shareHeard(heard, hearers), Late: n.shareLate(late, lates), Seen: seen}
+			l := &Loads{From: g.settings().Name, Seq: seq, Targets: n.share(own, others).Report(), Silent: n.shareSilences(silent, silences), Heard: n.shareHeard(heard, hearers), Late: n.shareLate(late, lates), Seen: seen}
 			news := len(l.Targets)+len(l.Silent)+len(l.Heard)+len(l.Late)+len(l.Seen) > 0
 			if !news && !told[n.Name] {
 				continue
@@ -142,7 +142,7 @@
 
 // share is what a neighbour is told: all that this instance knows of but what the neighbour
 // told it, and what the neighbour hears for itself.
-func (n neighbour) share(own loads.Sums, others map[string]loads.Sums) loads.Sums {
+func (n neighbour) share(own loadreport.WorkByTarget, others map[string]loadreport.WorkByTarget) loadreport.WorkByTarget {
 	out := maps.Clone(own)
 	for from, sums := range others {
 		if n.relayed[from] {
@@ -153,25 +153,25 @@
 }
 
 // shareSilences is share for silent targets: the longest silence counts.
-func (n neighbour) shareSilences(own []loads.Silent, others map[string][]loads.Silent) []loads.Silent {
+func (n neighbour) shareSilences(own []loadreport.TargetAge, others map[string][]loadreport.TargetAge) []loadreport.TargetAge {
 	return n.shareTimes(own, others, func(a, b int64) int64 { return max(a, b) })
 }
 
 // shareHeard is share for targets that answer: the latest answer counts.
-func (n neighbour) shareHeard(own []loads.Silent, others map[string][]loads.Silent) []loads.Silent {
+func (n neighbour) shareHeard(own []loadreport.TargetAge, others map[string][]loadreport.TargetAge) []loadreport.TargetAge {
 	return n.shareTimes(own, others, func(a, b int64) int64 { return min(a, b) })
 }
 
 // shareTimes is share for what is told with a time; which says which of two counts.
-func (n neighbour) shareTimes(own []loads.Silent, others map[string][]loads.Silent, which func(a, b int64) int64) []loads.Silent {
-	times := map[loads.Key]int64{}
-	add := func(told []loads.Silent) {
+func (n neighbour) shareTimes(own []loadreport.TargetAge, others map[string][]loadreport.TargetAge, which func(a, b int64) int64) []loadreport.TargetAge {
+	times := map[loadreport.Key]int64{}
+	add := func(told []loadreport.TargetAge) {
 		for _, t := range told {
 			if ms, known := times[t.Target]; known {
-				times[t.Target] = which(ms, t.MS)
+				times[t.Target] = which(ms, t.AgeMS)
 				continue
 			}
-			times[t.Target] = t.MS
+			times[t.Target] = t.AgeMS
 		}
 	}
 	add(own)
@@ -180,12 +180,12 @@
 			add(told)
 		}
 	}
-	var out []loads.Silent
+	var out []loadreport.TargetAge
 	for target, ms := range times {
-		if len(out) == loads.MostSilent {
+		if len(out) == loadreport.MaxUnresponsive {
 			break
 		}
-		out = append(out, loads.Silent{Target: target, MS: ms})
+		out = append(out, loadreport.TargetAge{Target: target, AgeMS: ms})
 	}
 	return out
 }
--- a/internal/gateway/loads_test.go
+++ b/internal/gateway/loads_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/shedhoist/shedhoist/internal/loads"
+	"github.com/shedhoist/shedhoist/internal/loadreport"
 )
 
 // TestLoadsReachAll: in fleets of any size each instance hears of the work of every other
@@ -16,17 +16,17 @@
 		t.Run(fmt.Sprintf("%d in %d", c.n, c.zones), func(t *testing.T) {
 			is := is.New(t)
 			all := fleetOf(c.n, c.zones)
-			trees, heard := map[string]*tree{}, map[string]map[string]loads.Sums{}
+			trees, heard := map[string]*tree{}, map[string]map[string]loadreport.WorkByTarget{}
 			for _, m := range all {
-				trees[m.Name], heard[m.Name] = newTree(all, m), map[string]loads.Sums{}
+				trees[m.Name], heard[m.Name] = newTree(all, m), map[string]loadreport.WorkByTarget{}
 			}
 			for range c.rounds {
-				next := map[string]map[string]loads.Sums{}
+				next := map[string]map[string]loadreport.WorkByTarget{}
 				for _, m := range all {
-					next[m.Name] = map[string]loads.Sums{}
+					next[m.Name] = map[string]loadreport.WorkByTarget{}
 				}
 				for _, m := range all {
-					own := loads.Sums{loads.KeyOf(m.Name): {Memory: 1000}} // a target of its own shows who is heard of
+					own := loadreport.WorkByTarget{loadreport.KeyOf(m.Name): {Memory: 1000}} // a target of its own shows who is heard of
 					is.True(len(trees[m.Name].neighbours()) <= c.most)
 					for _, n := range trees[m.Name].neighbours() {
 						next[n.Name][m.Name] = n.share(own, heard[m.Name])
@@ -35,7 +35,7 @@
 				heard = next
 			}
 			for _, m := range all {
-				sum := loads.Sums{loads.KeyOf(m.Name): {Memory: 1000}}
+				sum := loadreport.WorkByTarget{loadreport.KeyOf(m.Name): {Memory: 1000}}
 				for _, w := range heard[m.Name] {
 					sum.AddAll(w)
 				}
--- a/internal/gateway/model.go
+++ b/internal/gateway/model.go
@@ -6,7 +6,7 @@
 	"github.com/shedhoist/shedhoist/internal/catalog"
 	"github.com/shedhoist/shedhoist/internal/core/place"
 	"github.com/shedhoist/shedhoist/internal/core/stock"
-	"github.com/shedhoist/shedhoist/internal/loads"
+	"github.com/shedhoist/shedhoist/internal/loadreport"
 )
 
 // partSource is where one part of a prompt is held; the zero value is nowhere.
@@ -37,7 +37,7 @@
 
 // salt is the text under which the prompt's parts are cached with weights of a version.
 func (x *exchange) salt(version uint64) string {
-	return stock.Salt{Wall: x.view.Config.Wall(x.customer), Model: x.call.Prompt.Model, Version: version}.String()
+	return stock.Salt{Wall: x.view.Config.CacheScope(x.customer), Model: x.call.Prompt.Model, Version: version}.String()
 }
 
 // sourcesOf finds the prompt's parts in the stores, once for each version and attempt.
@@ -71,12 +71,12 @@
 // worthFetching says whether a fetch that is predicted to take ms leaves enough time for
 // the rest of the answer.
 func (x *exchange) worthFetching(ms float64) bool {
-	return ms <= fetchShare*float64(x.route.Objective)/float64(time.Millisecond)-x.sinceMS()
+	return ms <= fetchShare*float64(x.route.LatencyObjective)/float64(time.Millisecond)-x.sinceMS()
 }
 
 // fetchUntil is how much longer a fetch that is begun now may take.
 func (x *exchange) fetchUntil() time.Duration {
-	return min(max(time.Duration(untilShare*float64(x.route.Objective))-x.g.now().Sub(x.arrived), 0), longestFetch)
+	return min(max(time.Duration(untilShare*float64(x.route.LatencyObjective))-x.g.now().Sub(x.arrived), 0), longestFetch)
 }
 
 // workAt says what the prompt asks of a target: a part is fetched if its store
@@ -128,17 +128,17 @@
 	if src.store.Zone != t.Zone {
 		ms *= zoneFactor
 	}
-	return ms + float64(src.store.FirstByte)/float64(time.Millisecond)
+	return ms + float64(src.store.TransferLatency)/float64(time.Millisecond)
 }
 
 // modelAttempt says what a model server is told. The salt names the weights that
 // the target is believed to serve, and the target refuses if it serves others:
 // so cache of other weights can't be read, whatever this instance believes.
 func (x *exchange) modelAttempt(t *catalog.Target) *ModelAttempt {
-	version := t.VersionOf(x.call.Prompt.Model)
+	version := t.WeightVersion(x.call.Prompt.Model)
 	salt := x.salt(version)
 	now := x.g.now()
-	silent := x.g.upstream.work.Of(t.ID).Silence.Among(x.g.silences.Since(loads.KeyOf(t.ID), now), now)
+	silent := x.g.upstream.work.Of(t.ID).Silence.Among(x.g.silences.Since(loadreport.KeyOf(t.ID), now), now)
 	x.plan = x.g.cache.plan(x.view.Config.Stores, salt, version, x.call.Prompt.Parts, x.sourcesOf(version), x.asks.fetch, t.Zone, silent < answerDue && !x.view.Draining)
 	if silent >= answerDue {
 		x.plan.silentMS = silent.Milliseconds()
@@ -190,7 +190,7 @@
 	if len(x.view.Alive) <= smallFleet || !x.g.settings().Policy.LateBehind {
 		return min(rank, lowestPriority)
 	}
-	left := float64(x.route.Objective)/float64(time.Millisecond) - x.sinceMS()
+	left := float64(x.route.LatencyObjective)/float64(time.Millisecond) - x.sinceMS()
 	if x.predictedMS > hopelessShare*left {
 		rank += hopelessRanks
 	}
--- a/internal/gateway/model_test.go
+++ b/internal/gateway/model_test.go
@@ -12,7 +12,7 @@
 // TestServiceGone: a target whose service the newest configuration no longer
 // declares has no known links, and breaks nothing.
 func TestServiceGone(t *testing.T) {
-	x := &exchange{view: &View{Config: catalog.NewConfig(catalog.Draft{})}}
+	x := &exchange{view: &View{Config: catalog.NewConfig(catalog.ConfigSpec{})}}
 	src := partSource{store: &catalog.CacheStore{LinkMbps: 1000}, tokens: 100}
 	is.New(t).Equal(x.transferMS(src, &catalog.Target{Service: "gone"}), 0.0)
 }
@@ -43,7 +43,7 @@
 			g := &Gateway{now: func() time.Time { return start.Add(c.waited) }}
 			g.set.Store((&Settings{}).WithDefaults())
 			x := &exchange{g: g, arrived: start, view: &View{Alive: make([]string, c.fleet)}, predictedMS: c.predicted, customer: c.customer,
-				route: &catalog.Route{Objective: 500 * time.Millisecond, Priority: c.rank}}
+				route: &catalog.Route{LatencyObjective: 500 * time.Millisecond, Priority: c.rank}}
 			is.New(t).Equal(x.urgency(), c.want)
 		})
 	}
@@ -56,7 +56,7 @@
 	start := time.Unix(0, 0)
 	waited := time.Duration(0)
 	g := &Gateway{now: func() time.Time { return start.Add(waited) }}
-	x := &exchange{g: g, arrived: start, route: &catalog.Route{Objective: 400 * time.Millisecond}}
+	x := &exchange{g: g, arrived: start, route: &catalog.Route{LatencyObjective: 400 * time.Millisecond}}
 	is.True(x.worthFetching(200))
 	is.True(!x.worthFetching(201))
 	is.Equal(x.fetchUntil(), 1200*time.Millisecond)
@@ -65,9 +65,9 @@
 	is.True(!x.worthFetching(51))
 	is.Equal(x.fetchUntil(), 1050*time.Millisecond)
 	waited = 0
-	x.route = &catalog.Route{Objective: 10 * time.Second}
+	x.route = &catalog.Route{LatencyObjective: 10 * time.Second}
 	is.Equal(x.fetchUntil(), longestFetch)
-	x.route = &catalog.Route{Objective: 400 * time.Millisecond}
+	x.route = &catalog.Route{LatencyObjective: 400 * time.Millisecond}
 	waited = 2 * time.Second
 	is.True(!x.worthFetching(0))
 	is.Equal(x.fetchUntil(), time.Duration(0))
--- a/internal/gateway/news.go
+++ b/internal/gateway/news.go
@@ -116,12 +116,12 @@
 
 // have says how new the beliefs are.
 func (c *control) have() Have {
-	return Have{Config: c.configInForce().Version, Targets: c.targets.Changed(), Versions: c.namedIn, Rollout: c.rollout.Stamp, Newest: c.newestConfig(), Evacuations: c.evacuated.Changed()}
+	return Have{Config: c.configInForce().Version, Targets: c.targets.LastChange(), Versions: c.namedIn, Rollout: c.rollout.Stamp, Newest: c.newestConfig(), Evacuations: c.evacuated.LastChange()}
 }
 
 // known says up to where they are complete.
 func (c *control) known() Known {
-	return Known{Config: c.configInForce().Version, Targets: c.targets.Revision(), Versions: c.namedAt, Rollout: c.rollout.Stamp, Evacuations: c.evacuated.At()}
+	return Known{Config: c.configInForce().Version, Targets: c.targets.Revision(), Versions: c.namedAt, Rollout: c.rollout.Stamp, Evacuations: c.evacuated.Revision()}
 }
 
 // lacks says whether a peer has news that are missing here. A long configuration is none.
@@ -147,7 +147,7 @@
 	}
 	if c.targets.Listed() && mine.Targets > k.Targets {
 		n.Revision = c.targets.Revision()
-		n.Targets, n.Gone, n.Listed = c.targets.Since(k.Targets)
+		n.Targets, n.Gone, n.Listed = c.targets.ChangesSince(k.Targets)
 		if n.Listed && !alone && len(n.Targets) > longList {
 			*n = News{Config: n.Config, AskStore: true}
 		}
@@ -159,7 +159,7 @@
 		n.NamedAt, n.NamedIn = c.namedAt, mine.Versions
 	}
 	if mine.Evacuations > k.Evacuations {
-		n.Evacuated, n.EvacuatedAt, n.EvacuatedIn = c.evacuated.Names(), max(c.evacuated.At(), mine.Evacuations), mine.Evacuations
+		n.Evacuated, n.EvacuatedAt, n.EvacuatedIn = c.evacuated.Names(), max(c.evacuated.Revision(), mine.Evacuations), mine.Evacuations
 	}
 	if mine.Rollout.after(k.Rollout) {
 		news := c.rollout
@@ -177,7 +177,7 @@
 		g.storeDue.Raise()
 	}
 	for i := range n.Targets {
-		n.Targets[i] = n.Targets[i].Identify()
+		n.Targets[i] = n.Targets[i].WithID()
 	}
 	switch {
 	case n.Listed:
--- a/internal/gateway/orders_word_test.go
+++ b/internal/gateway/orders_word_test.go
@@ -103,7 +103,7 @@
 				time.Sleep(3 * time.Second)
 				f.press(f.all(), pathSafe, 5*time.Millisecond, time.Second)
 				is.Equal(s.arrived("") > 0, again > 0)
-				is.True(f.gates[0].view.Load().Targets[catalog.Target{Name: s.name, Start: s.born}.Identify().ID] != nil)
+				is.True(f.gates[0].view.Load().Targets[catalog.Target{Name: s.name, Start: s.born}.WithID().ID] != nil)
 			})
 		})
 	}
--- a/internal/gateway/parts.go
+++ b/internal/gateway/parts.go
@@ -104,13 +104,13 @@
 		return *old
 	}
 	p := servingPart{made: true, cfg: c.cfg, edits: c.targets.Edits(), closing: closing, newest: newest, targets: make(map[string]*catalog.Target, len(c.targets.Entries())),
-		serving: map[string][]*catalog.Target{}, departed: c.targets.Departed(), zones: zones, evacuated: map[string]int{}}
+		serving: map[string][]*catalog.Target{}, departed: c.targets.Departures(), zones: zones, evacuated: map[string]int{}}
 	for _, t := range c.targets.Entries() {
 		if t.Unusable {
 			continue
 		}
 		p.targets[t.ID] = &t.Target
-		if t.Leaves() || !c.cfg.Declares(t.Service) {
+		if t.IsLeaving() || !c.cfg.HasService(t.Service) {
 			continue
 		}
 		if isBehind(&t.Target, newest) {
@@ -203,7 +203,7 @@
 		Revision: c.targets.Revision(), Listed: c.targets.Listed(),
 		Named: map[string]Named{}, Rollout: c.rollout, Draining: c.draining, StoreOK: c.storeOK, CutOff: c.cutOff.now,
 		Released: c.released, coldChoice: f.cold, SettledAt: c.settledAt,
-		EvacuatedZones: s.zones, Evacuated: s.evacuated, EvacuatedAt: c.evacuated.At(), EvacuationsUnknown: c.followsEvacuations && !c.evacuated.Known(),
+		EvacuatedZones: s.zones, Evacuated: s.evacuated, EvacuatedAt: c.evacuated.Revision(), EvacuationsUnknown: c.followsEvacuations && !c.evacuated.Listed(),
 	}
 	maps.Copy(v.Named, c.named)
 	return v
@@ -211,5 +211,5 @@
 
 // newTargets returns an empty list of targets.
 func newTargets(l log.Interface, self string) *registry.Table {
-	return registry.New(registry.Options{Log: l, Rank: func(name string) uint64 { return rendezvous.Score(self, name) }, Linger: lingerTime})
+	return registry.New(registry.Options{Log: l, Rank: func(name string) uint64 { return rendezvous.Score(self, name) }, DepartureRetention: lingerTime})
 }
--- a/internal/gateway/parts_test.go
+++ b/internal/gateway/parts_test.go
@@ -21,7 +21,7 @@
 	self := member.Member{Name: name, Address: "10.0.0.1:1", Zone: zone, Incarnation: 1}
 	return &control{log: quiet, now: func() time.Time { return at0 }, named: map[string]Named{}, storeOK: true,
 		members: member.New(member.DefaultParams, self, func(int) int { return 0 }),
-		targets: newTargets(quiet, name), cfg: catalog.NewConfig(catalog.Draft{Services: []catalog.Service{{Name: "s"}}})}
+		targets: newTargets(quiet, name), cfg: catalog.NewConfig(catalog.ConfigSpec{Services: []catalog.Service{{Name: "s"}}})}
 }
 
 // targetsOf are n targets over some zones.
@@ -39,18 +39,18 @@
 func TestPartsAreShared(t *testing.T) {
 	is := is.New(t)
 	c := controlOf("a", "z0")
-	c.targets.List(9, targetsOf(3, 1), nil, at0)
+	c.targets.ApplyList(9, targetsOf(3, 1), nil, at0)
 	first := c.view()
 	same := entry("i-0001", 10)
 	same.Zone = "z0"
-	c.targets.Change(10, []catalog.Target{same}, nil, at0)
+	c.targets.ApplyChanges(10, []catalog.Target{same}, nil, at0)
 	v := c.view()
 	is.Equal(v.Revision, platform.Version(10))
 	is.True(v.Tree == first.Tree && v.Targets["i-0001"] == first.Targets["i-0001"])
 
-	c.targets.Serves("i-0001", catalog.ModelVersion{Model: "m", Version: 2})
-	is.Equal(c.view().Targets["i-0001"].VersionOf("m"), uint64(2))
-	is.Equal(first.Targets["i-0001"].VersionOf("m"), uint64(1)) // what was published stays
+	c.targets.ApplyWeightVersion("i-0001", catalog.ModelVersion{Model: "m", Version: 2})
+	is.Equal(c.view().Targets["i-0001"].WeightVersion("m"), uint64(2))
+	is.Equal(first.Targets["i-0001"].WeightVersion("m"), uint64(1)) // what was published stays
 
 	versionsNamed{revision: 11, changed: 11, versions: []catalog.ModelVersion{{Model: "m", Version: 2}}}.apply(c)
 	is.Equal(len(c.view().Behind), 2)
@@ -63,7 +63,7 @@
 	is.Equal(len(c.view().Serving["s"]), 3)
 	is.True(!c.reopened())
 
-	c.targets.Change(12, nil, []string{"i-0002"}, now)
+	c.targets.ApplyChanges(12, nil, []string{"i-0002"}, now)
 	v = c.view()
 	is.Equal(len(v.Targets), 2)
 	is.Equal(len(v.Serving["s"]), 2)
@@ -80,7 +80,7 @@
 	uses := map[string]int{}
 	for i := range instances {
 		c := controlOf(fmt.Sprintf("e-%d", i), fmt.Sprintf("z%d", i%zones))
-		c.targets.List(targets, targetsOf(targets, zones), nil, at0)
+		c.targets.ApplyList(targets, targetsOf(targets, zones), nil, at0)
 		chosen := c.view().Candidates["s"]
 		is.Equal(len(chosen), mostCandidates)
 		had := map[string]bool{}
@@ -89,7 +89,7 @@
 			uses[x.ID]++
 			had[x.ID] = true
 		}
-		c.targets.Change(targets+1, nil, []string{chosen[0].ID}, at0)
+		c.targets.ApplyChanges(targets+1, nil, []string{chosen[0].ID}, at0)
 		kept := 0
 		for _, x := range c.view().Candidates["s"] {
 			if had[x.ID] {
@@ -106,7 +106,7 @@
 
 	few := controlOf("e", "z0")
 	some := targetsOf(200, 20) // ten in the zone
-	few.targets.List(9, some, nil, at0)
+	few.targets.ApplyList(9, some, nil, at0)
 	near := 0
 	for _, x := range few.view().Candidates["s"] {
 		if x.Zone == "z0" {
@@ -128,7 +128,7 @@
 			all[i].Models[0].Version = 2
 		}
 	}
-	c.targets.List(9, all, nil, at0)
+	c.targets.ApplyList(9, all, nil, at0)
 	versionsNamed{revision: 11, changed: 11, versions: []catalog.ModelVersion{{Model: "m", Version: 2}}}.apply(c)
 	v := c.view()
 	g := &Gateway{now: func() time.Time { return at0 }, ejected: breaker.New(func() time.Time { return at0 })}
@@ -146,17 +146,17 @@
 func TestLongList(t *testing.T) {
 	is := is.New(t)
 	c := controlOf("e", "z0")
-	c.targets.List(1000, targetsOf(longList+1, 3), nil, at0)
+	c.targets.ApplyList(1000, targetsOf(longList+1, 3), nil, at0)
 	n := c.newsFor(Known{Targets: 5}, false)
 	is.True(n.AskStore && !n.Listed && len(n.Targets) == 0)
 	n = c.newsFor(Known{Targets: 5}, true)
 	is.True(!n.AskStore && n.Listed)
 	is.Equal(len(n.Targets), longList+1)
-	c.targets.Change(1001, nil, []string{"i-0003"}, at0)
+	c.targets.ApplyChanges(1001, nil, []string{"i-0003"}, at0)
 	n = c.newsFor(Known{Targets: 1000}, false)
 	is.True(!n.AskStore && !n.Listed)
 	is.Equal(n.Gone, []string{"i-0003"})
 	short := controlOf("e", "z0")
-	short.targets.List(1000, targetsOf(3, 3), nil, at0)
+	short.targets.ApplyList(1000, targetsOf(3, 3), nil, at0)
 	is.True(short.newsFor(Known{}, false).Listed)
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -23,7 +23,7 @@
 // no request's doing.
 func (g *Gateway) crashed(t *catalog.Target, broken []brokenRequest) {
 	listed := g.view.Load().Targets[t.ID]
-	if listed == nil || listed.Leaves() {
+	if listed == nil || listed.IsLeaving() {
 		g.log.WithField("target", t.ID).WithField("requests", len(broken)).Info("target ended as announced")
 		return
 	}
--- a/internal/gateway/rest_over_test.go
+++ b/internal/gateway/rest_over_test.go
@@ -22,11 +22,11 @@
 	if err := json.Unmarshal(value, &d); err != nil {
 		return nil, err
 	}
-	route := catalog.Route{Host: hostAll, Timeout: 4 * time.Second, Objective: 500 * time.Millisecond}
+	route := catalog.Route{Host: hostAll, Timeout: 4 * time.Second, LatencyObjective: 500 * time.Millisecond}
 	one, other := route, route
 	one.Name, one.PathPrefix, one.Kind, one.MaxAttempts, one.Backends = "safe", pathSafe, catalog.Idempotent, 3, []catalog.Backend{{Service: "s", Weight: 1}}
-	other.Name, other.PathPrefix, other.Kind, other.MaxAttempts, other.Backends = "once", pathOnce, catalog.Once, 1, []catalog.Backend{{Service: "other", Weight: 1}}
-	return catalog.NewConfig(catalog.Draft{Version: d.Version, Services: []catalog.Service{{Name: "s"}, {Name: "other"}}, Routes: []catalog.Route{one, other},
+	other.Name, other.PathPrefix, other.Kind, other.MaxAttempts, other.Backends = "once", pathOnce, catalog.AtMostOnce, 1, []catalog.Backend{{Service: "other", Weight: 1}}
+	return catalog.NewConfig(catalog.ConfigSpec{Version: d.Version, Services: []catalog.Service{{Name: "s"}, {Name: "other"}}, Routes: []catalog.Route{one, other},
 		Customers: []catalog.CustomerKeys{{Customer: catalog.Customer{Name: "one"}, Keys: d.Keys}}}), nil
 }
 
--- a/internal/gateway/rest_test.go
+++ b/internal/gateway/rest_test.go
@@ -571,15 +571,15 @@
 	g := &Gateway{now: clock, ejected: breaker.New(clock), log: &log.Logger{Handler: lines}}
 	target := &catalog.Target{ID: "t@1"}
 	for range 40 { // 10 ms apart
-		g.hearWord(target, Word{Rest: 3 * time.Second}, registry.Teller{From: string(fromAnswer), By: "r"})
+		g.hearWord(target, Word{Rest: 3 * time.Second}, registry.Source{Channel: string(fromAnswer), Reporter: "r"})
 		now = now.Add(10 * time.Millisecond)
 	}
 	is.Equal(len(lines.Entries), 2) // the first, and one 300 ms later
 	is.Equal(lines.Entries[0].Fields, log.Fields{"target": "t@1", "rest_ms": int64(3000), "until": "1970-01-01T00:00:03Z", "from": "answer", "by": "r"})
-	g.hearWord(target, Word{Rest: time.Millisecond}, registry.Teller{From: string(fromAnswer), By: "r"})
+	g.hearWord(target, Word{Rest: time.Millisecond}, registry.Source{Channel: string(fromAnswer), Reporter: "r"})
 	is.Equal(len(lines.Entries), 2) // it changes nothing
 	now = now.Add(time.Minute)
-	g.hearWord(target, Word{Rest: time.Millisecond}, registry.Teller{From: string(fromReport)})
+	g.hearWord(target, Word{Rest: time.Millisecond}, registry.Source{Channel: string(fromReport)})
 	is.Equal(len(lines.Entries), 3) // a new one, however short
 	is.Equal(lines.Entries[2].Fields.Get("from"), "report")
 }
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -176,7 +176,7 @@
 	fenced := o.fenced
 	o.mu.Unlock()
 	for _, t := range v.Targets {
-		if t.Leaves() || !v.Config.Declares(t.Service) || fenced.blocks(t.ID, now) {
+		if t.IsLeaving() || !v.Config.HasService(t.Service) || fenced.blocks(t.ID, now) {
 			continue
 		}
 		for _, m := range t.Models {
@@ -292,7 +292,7 @@
 		return err.Error()
 	}
 	metric.Orders.Inc()
-	by := registry.Teller{From: string(fromOrder), Sent: o.g.now()}
+	by := registry.Source{Channel: string(fromOrder), RequestSent: o.g.now()}
 	word, err := o.g.engines.Load(ctx, LoadOrder{Target: t.Name, Address: t.Address, Model: model, Version: version, Holder: o.g.settings().Name,
 		Token: token, ExpectedSeq: seq, Cut: true})
 	word = wordOf(word, err)
@@ -344,10 +344,10 @@
 	if err := o.stays(t); err != nil {
 		return Report{}, err
 	}
-	by := registry.Teller{From: string(fromReport), Sent: o.g.now()}
+	by := registry.Source{Channel: string(fromReport), RequestSent: o.g.now()}
 	r, err := o.g.engines.Report(ctx, t.Address, t.Name)
 	if r.Start != 0 {
-		by.Sent = time.Time{} // it tells its life
+		by.RequestSent = time.Time{} // it tells its life
 	}
 	word := wordOf(r.Word, err)
 	o.holdOff(t, word.Rest)
--- a/internal/gateway/rollout_rest.go
+++ b/internal/gateway/rollout_rest.go
@@ -31,7 +31,7 @@
 
 // stays fails if a target leaves or is gone.
 func (o *rollout) stays(t *catalog.Target) error {
-	if latest := o.g.view.Load().Targets[t.ID]; latest == nil || latest.Leaves() {
+	if latest := o.g.view.Load().Targets[t.ID]; latest == nil || latest.IsLeaving() {
 		return &LeavesError{Target: t.ID}
 	}
 	return nil
@@ -49,7 +49,7 @@
 
 // pollPause is how long to wait before the next report of a load under way.
 func (o *rollout) pollPause(t *catalog.Target) time.Duration {
-	rest := o.g.ejected.Asked()[t.ID].Sub(o.g.now())
+	rest := o.g.ejected.Backoffs()[t.ID].Sub(o.g.now())
 	return min(max(rest, loadPoll), restPoll)
 }
 
--- a/internal/gateway/rollout_rest_test.go
+++ b/internal/gateway/rollout_rest_test.go
@@ -95,7 +95,7 @@
 
 // hear brings a word of the target that came with an answer to a caller.
 func (f *loadFleet) hear(w Word) {
-	f.o.g.hearWord(f.target, w, registry.Teller{From: string(fromAnswer)})
+	f.o.g.hearWord(f.target, w, registry.Source{Channel: string(fromAnswer)})
 }
 
 // TestReportsWaitForRest guards against reports asked for in a rest that the target has asked for.
--- a/internal/gateway/seen.go
+++ b/internal/gateway/seen.go
@@ -4,13 +4,13 @@
 	"sync"
 	"time"
 
-	"github.com/shedhoist/shedhoist/internal/loads"
+	"github.com/shedhoist/shedhoist/internal/loadreport"
 )
 
 // StoreSeen says up to which event an instance knows a cache store.
 type StoreSeen struct {
 	_     struct{} `cbor:",toarray"`
-	Store loads.Key
+	Store loadreport.Key
 	Epoch uint64
 	Event uint64
 }
@@ -26,12 +26,12 @@
 type seenWord struct {
 	seq    uint64
 	at     time.Time
-	stores map[loads.Key]StoreSeen
+	stores map[loadreport.Key]StoreSeen
 }
 
 // take keeps an instance's word, unless a newer one is known that still counts.
 func (b *seenBook) take(from string, seq uint64, told []StoreSeen, now time.Time) {
-	w := seenWord{seq: seq, at: now, stores: make(map[loads.Key]StoreSeen, len(told))}
+	w := seenWord{seq: seq, at: now, stores: make(map[loadreport.Key]StoreSeen, len(told))}
 	for _, s := range told {
 		w.stores[s.Store] = s
 	}
@@ -73,7 +73,7 @@
 	for address, sh := range c.inventories {
 		epoch, next, known := sh.Position()
 		if known && sh.cancel != nil && !sh.HasGap() {
-			out = append(out, StoreSeen{Store: loads.KeyOf(address), Epoch: epoch, Event: next})
+			out = append(out, StoreSeen{Store: loadreport.KeyOf(address), Epoch: epoch, Event: next})
 		}
 	}
 	return out
@@ -84,6 +84,6 @@
 func (c *cacheDirectory) knownToAll(store string, now time.Time) func(epoch, event uint64) bool {
 	v := c.g.view.Load()
 	return func(epoch, event uint64) bool {
-		return v.Tree != nil && v.Tree.small && c.g.seen.all(v.Others, StoreSeen{Store: loads.KeyOf(store), Epoch: epoch, Event: event}, now)
+		return v.Tree != nil && v.Tree.small && c.g.seen.all(v.Others, StoreSeen{Store: loadreport.KeyOf(store), Epoch: epoch, Event: event}, now)
 	}
 }
--- a/internal/gateway/seen_test.go
+++ b/internal/gateway/seen_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/shedhoist/shedhoist/internal/loads"
+	"github.com/shedhoist/shedhoist/internal/loadreport"
 )
 
 // TestSeenByAll guards against a part that is fetched at once though an instance has not said that it knows
@@ -14,7 +14,7 @@
 func TestSeenByAll(t *testing.T) {
 	is := is.New(t)
 	var b seenBook
-	store := loads.KeyOf("10.0.0.1:1")
+	store := loadreport.KeyOf("10.0.0.1:1")
 	tell := func(from string, seq, epoch, event uint64, at time.Time) {
 		b.take(from, seq, []StoreSeen{{Store: store, Epoch: epoch, Event: event}}, at)
 	}
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -74,7 +74,7 @@
 	if p := x.stopsFirst(); p != nil {
 		return p
 	}
-	if cfg.NeedsKey(x.route) {
+	if cfg.RequiresKey(x.route) {
 		if x.customer = cfg.Customer(x.call.Key); x.customer == nil {
 			return problem.New(problem.Unauthorized, "the key is not known")
 		}
--- a/internal/gateway/serve_test.go
+++ b/internal/gateway/serve_test.go
@@ -16,7 +16,7 @@
 // TestAwaitBeliefs: a request that meets a new process waits until the process knows enough,
 // for a bounded time and a part of its caller's patience, and no longer than its caller.
 func TestAwaitBeliefs(t *testing.T) {
-	known := &View{Config: catalog.NewConfig(catalog.Draft{}), Listed: true}
+	known := &View{Config: catalog.NewConfig(catalog.ConfigSpec{}), Listed: true}
 	never := time.Hour
 	cases := []struct {
 		name     string
--- a/internal/gateway/silences_test.go
+++ b/internal/gateway/silences_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 
 	"github.com/shedhoist/shedhoist/internal/inflight"
-	"github.com/shedhoist/shedhoist/internal/loads"
+	"github.com/shedhoist/shedhoist/internal/loadreport"
 )
 
 // TestSilencesAreRelayed guards against silent targets that only the instances next to their teller
@@ -16,15 +16,15 @@
 func TestSilencesAreRelayed(t *testing.T) {
 	is := is.New(t)
 	n := neighbour{relayed: map[string]bool{"child": true}}
-	others := map[string][]loads.Silent{
-		"child":  {{Target: 1, MS: 700}, {Target: 2, MS: 600}},
-		"parent": {{Target: 3, MS: 900}},
+	others := map[string][]loadreport.TargetAge{
+		"child":  {{Target: 1, AgeMS: 700}, {Target: 2, AgeMS: 600}},
+		"parent": {{Target: 3, AgeMS: 900}},
 	}
-	got := map[loads.Key]int64{}
-	for _, s := range n.shareSilences([]loads.Silent{{Target: 1, MS: 500}, {Target: 4, MS: 800}}, others) {
-		got[s.Target] = s.MS
+	got := map[loadreport.Key]int64{}
+	for _, s := range n.shareSilences([]loadreport.TargetAge{{Target: 1, AgeMS: 500}, {Target: 4, AgeMS: 800}}, others) {
+		got[s.Target] = s.AgeMS
 	}
-	is.Equal(got, map[loads.Key]int64{1: 700, 2: 600, 4: 800})
+	is.Equal(got, map[loadreport.Key]int64{1: 700, 2: 600, 4: 800})
 }
 
 // TestHeardSpeaksAgainstSilence guards against saves that are kept back because another instance
@@ -53,7 +53,7 @@
 	g := &Gateway{now: func() time.Time { return now }, upstream: newUpstream()}
 	g.upstream.work.Of("silent").Silence.Asked(now.Add(-answerDue))
 	g.upstream.work.Of("busy").Silence.Asked(now.Add(-answerDue + time.Millisecond))
-	is.Equal(g.ownSilences(), []loads.Silent{{Target: loads.KeyOf("silent"), MS: answerDue.Milliseconds()}})
+	is.Equal(g.ownSilences(), []loadreport.TargetAge{{Target: loadreport.KeyOf("silent"), AgeMS: answerDue.Milliseconds()}})
 }
 
 // TestLateSavesAreRelayed guards against late saves that only the instances next to their teller
@@ -61,9 +61,9 @@
 func TestLateSavesAreRelayed(t *testing.T) {
 	is := is.New(t)
 	n := neighbour{relayed: map[string]bool{"child": true}}
-	got := n.shareLate([]loads.Key{1, 4}, map[string][]loads.Key{"child": {1, 2}, "parent": {3}})
+	got := n.shareLate([]loadreport.Key{1, 4}, map[string][]loadreport.Key{"child": {1, 2}, "parent": {3}})
 	slices.Sort(got)
-	is.Equal(got, []loads.Key{1, 2, 4})
+	is.Equal(got, []loadreport.Key{1, 2, 4})
 }
 
 // TestQueuesAreNoSilence guards against saves that all instances keep back at a busy target: some
@@ -71,22 +71,22 @@
 func TestQueuesAreNoSilence(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	key := loads.KeyOf("t")
-	waits := []loads.Silent{{Target: key, MS: 2000}}
+	key := loadreport.KeyOf("t")
+	waits := []loadreport.TargetAge{{Target: key, AgeMS: 2000}}
 	hears := &Gateway{now: func() time.Time { return now }, upstream: newUpstream()}
 	hears.upstream.work.Of("t").Silence.Answered(now.Add(-time.Second))
-	heard := hears.ownHeard(map[string][]loads.Silent{"waits": waits})
-	is.Equal(heard, []loads.Silent{{Target: key, MS: 1000}})
-	is.Equal(len(hears.ownHeard(map[string][]loads.Silent{"waits": {{Target: key, MS: 900}}})), 0) // silent since
+	heard := hears.ownHeard(map[string][]loadreport.TargetAge{"waits": waits})
+	is.Equal(heard, []loadreport.TargetAge{{Target: key, AgeMS: 1000}})
+	is.Equal(len(hears.ownHeard(map[string][]loadreport.TargetAge{"waits": {{Target: key, AgeMS: 900}}})), 0) // silent since
 
-	s := loads.NewSilences(loadAge)
-	s.Take("waits", 1, waits, now)
+	s := loadreport.NewUnresponsiveTargets(loadAge)
+	s.Apply("waits", 1, waits, now)
 	is.Equal(s.Since(key, now), now.Add(-2*time.Second))
-	s.TakeHeard("hears", 1, heard, now)
+	s.ApplyResponses("hears", 1, heard, now)
 	is.True(s.Since(key, now).IsZero())
-	s.TakeHeard("hears", 2, nil, now)
+	s.ApplyResponses("hears", 2, nil, now)
 	is.True(!s.Since(key, now).IsZero())
 
 	n := neighbour{relayed: map[string]bool{"hears": true}}
-	is.Equal(n.shareHeard([]loads.Silent{{Target: key, MS: 1500}}, map[string][]loads.Silent{"hears": heard, "elsewhere": {{Target: key}}}), heard)
+	is.Equal(n.shareHeard([]loadreport.TargetAge{{Target: key, AgeMS: 1500}}, map[string][]loadreport.TargetAge{"hears": heard, "elsewhere": {{Target: key}}}), heard)
 }
--- a/internal/gateway/stop_edge_test.go
+++ b/internal/gateway/stop_edge_test.go
@@ -237,7 +237,7 @@
 	for _, since := range []time.Duration{takenUntil - time.Millisecond, takenUntil, takenUntil + 1, 3 * time.Second, 3700 * time.Millisecond} {
 		for _, over := range []time.Duration{-time.Millisecond, 0, 1, time.Second} {
 			for _, way := range []string{onUnused, onKept, onNew} {
-				for _, kind := range []catalog.RequestKind{catalog.Once, catalog.Streaming} {
+				for _, kind := range []catalog.RequestKind{catalog.AtMostOnce, catalog.Streaming} {
 					for _, public := range []bool{false, true} {
 						name := fmt.Sprintf("%v/%+v/%s/%v/public=%v", since, over, way, kind, public)
 						codec := edgeCodec{kind: kind, timeout: edgeLast - since + over, public: public}
@@ -298,7 +298,7 @@
 	const since = 3200 * time.Millisecond
 	for _, less := range []time.Duration{0, 1, time.Millisecond, answerTime - 1, answerTime, 2 * answerTime} {
 		t.Run(less.String(), func(t *testing.T) {
-			onEdge(t, edgeCodec{kind: catalog.Once, timeout: edgeCut - since - less}, func(f *edgeFleet) {
+			onEdge(t, edgeCodec{kind: catalog.AtMostOnce, timeout: edgeCut - since - less}, func(f *edgeFleet) {
 				c, _ := f.late(onUnused, since)
 				c.send(since, f.request(forever, 0))
 				if less < answerTime {
@@ -343,7 +343,7 @@
 // because its body comes for longer than the request may last, until the stop cuts.
 func TestStopAnswersSlowBodies(t *testing.T) {
 	const head, timeout = 3200 * time.Millisecond, time.Second
-	onEdge(t, edgeCodec{kind: catalog.Once, timeout: timeout}, func(f *edgeFleet) {
+	onEdge(t, edgeCodec{kind: catalog.AtMostOnce, timeout: timeout}, func(f *edgeFleet) {
 		c, _ := f.late(onUnused, head)
 		text := f.request(0, 0)
 		c.send(head, text[:len(text)-1])
@@ -360,7 +360,7 @@
 // or that counts what it refused; what is left then is cut, so that it does not look whole.
 func TestStopCutsAtItsEnd(t *testing.T) {
 	for _, over := range []time.Duration{-beforeCut, beforeCut} {
-		for _, kind := range []catalog.RequestKind{catalog.Once, catalog.Streaming} {
+		for _, kind := range []catalog.RequestKind{catalog.AtMostOnce, catalog.Streaming} {
 			t.Run(over.String()+"/"+kind.String(), func(t *testing.T) {
 				onEdge(t, edgeCodec{kind: kind, timeout: forever}, func(f *edgeFleet) {
 					const since = 3 * time.Second // what comes from here on may not be cut
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -25,7 +25,7 @@
 
 // stallTime is the longest silence between the events of a stream that can go on
 // elsewhere.
-func (x *exchange) stallTime() time.Duration { return max(stallGaps*x.route.GapLimit, leastStall) }
+func (x *exchange) stallTime() time.Duration { return max(stallGaps*x.route.MaxEventGap, leastStall) }
 
 // EventSizeError says that an event is longer than maxEvent.
 type EventSizeError struct{}
--- a/internal/gateway/streams_config_test.go
+++ b/internal/gateway/streams_config_test.go
@@ -17,11 +17,11 @@
 	if err := json.Unmarshal(value, &d); err != nil {
 		return nil, err
 	}
-	route := catalog.Route{Host: hostAll, Timeout: timeout, Objective: 500 * time.Millisecond, Backends: []catalog.Backend{{Service: "s", Weight: 1}}}
+	route := catalog.Route{Host: hostAll, Timeout: timeout, LatencyObjective: 500 * time.Millisecond, Backends: []catalog.Backend{{Service: "s", Weight: 1}}}
 	once, safe, stream := route, route, route
-	once.Name, once.PathPrefix, once.Kind, once.MaxAttempts = "once", pathOnce, catalog.Once, 1
+	once.Name, once.PathPrefix, once.Kind, once.MaxAttempts = "once", pathOnce, catalog.AtMostOnce, 1
 	safe.Name, safe.PathPrefix, safe.Kind, safe.MaxAttempts = "safe", pathSafe, catalog.Idempotent, attempts
 	stream.Name, stream.PathPrefix, stream.Kind, stream.MaxAttempts, stream.Resumable = "stream", pathStream, catalog.Streaming, attempts, true
-	return catalog.NewConfig(catalog.Draft{Version: d.Version, Services: []catalog.Service{{Name: "s"}}, Routes: []catalog.Route{once, safe, stream},
+	return catalog.NewConfig(catalog.ConfigSpec{Version: d.Version, Services: []catalog.Service{{Name: "s"}}, Routes: []catalog.Route{once, safe, stream},
 		Customers: []catalog.CustomerKeys{{Customer: catalog.Customer{Name: "one"}, Keys: d.Keys}}}), nil
 }
--- a/internal/gateway/traffic_test.go
+++ b/internal/gateway/traffic_test.go
@@ -44,11 +44,11 @@
 	if err := json.Unmarshal(value, &d); err != nil {
 		return nil, err
 	}
-	route := catalog.Route{Host: hostAll, Timeout: 4 * time.Second, Objective: 500 * time.Millisecond, Backends: []catalog.Backend{{Service: "s", Weight: 1}}}
+	route := catalog.Route{Host: hostAll, Timeout: 4 * time.Second, LatencyObjective: 500 * time.Millisecond, Backends: []catalog.Backend{{Service: "s", Weight: 1}}}
 	once, safe := route, route
-	once.Name, once.PathPrefix, once.Kind, once.MaxAttempts = "once", pathOnce, catalog.Once, 1
+	once.Name, once.PathPrefix, once.Kind, once.MaxAttempts = "once", pathOnce, catalog.AtMostOnce, 1
 	safe.Name, safe.PathPrefix, safe.Kind, safe.MaxAttempts = "safe", pathSafe, catalog.Idempotent, 2
-	return catalog.NewConfig(catalog.Draft{Version: d.Version, Services: []catalog.Service{{Name: "s"}}, Routes: []catalog.Route{once, safe},
+	return catalog.NewConfig(catalog.ConfigSpec{Version: d.Version, Services: []catalog.Service{{Name: "s"}}, Routes: []catalog.Route{once, safe},
 		Customers: []catalog.CustomerKeys{{Customer: catalog.Customer{Name: "one"}, Keys: d.Keys}}}), nil
 }
 
@@ -233,7 +233,7 @@
 	coldMS := m.coldMS
 	m.mu.Unlock()
 	go func() { _ = srv.Serve(ln) }() // it ends with the target
-	m.f.store.set(memoryTargets, m.name, catalog.Target{Service: "s", Address: address, Zone: m.zone, Start: m.born, ColdMS: coldMS})
+	m.f.store.set(memoryTargets, m.name, catalog.Target{Service: "s", Address: address, Zone: m.zone, Start: m.born, WarmupMS: coldMS})
 }
 
 // leave announces the target's end.
--- a/internal/gateway/try.go
+++ b/internal/gateway/try.go
@@ -130,7 +130,7 @@
 		x.g.upstream.learnKept(t.Service, at.answer.KeptFor)
 		if x.answers(at.answer) {
 			x.word = at.answer.Word
-			x.g.hearWord(t, x.word, registry.Teller{From: string(fromAnswer), By: x.call.ID, Sent: at.began})
+			x.g.hearWord(t, x.word, registry.Source{Channel: string(fromAnswer), Reporter: x.call.ID, RequestSent: at.began})
 		}
 		end = x.take(at)
 	}
@@ -209,7 +209,7 @@
 
 // patience is the longest wait for the first word of a repeatable request.
 func (x *exchange) patience() time.Duration {
-	return max(patienceFactor*x.route.Objective, leastPatience)
+	return max(patienceFactor*x.route.LatencyObjective, leastPatience)
 }
 
 // whoEnded lets the end of the request's own time, or of its caller, go before
@@ -284,7 +284,7 @@
 // learnWeights notes the weights that the target's answer was made with.
 func (x *exchange) learnWeights(at *work) {
 	p := x.call.Prompt
-	if p == nil || at.answer.WeightVersion <= at.target.VersionOf(p.Model) {
+	if p == nil || at.answer.WeightVersion <= at.target.WeightVersion(p.Model) {
 		return
 	}
 	x.g.send(targetServes{id: at.target.ID, at: catalog.ModelVersion{Model: p.Model, Version: at.answer.WeightVersion}})
@@ -380,11 +380,11 @@
 	id := at.target.ID
 	switch {
 	case end.delivered:
-		x.g.ejected.Result(id, true)
+		x.g.ejected.RecordResult(id, true)
 	case end.event == attempt.Refused:
-		x.g.ejected.Rest(id, refusalRest)
+		x.g.ejected.Eject(id, refusalRest)
 	case end.event == attempt.CallerGone:
 	default:
-		x.g.ejected.Result(id, false)
+		x.g.ejected.RecordResult(id, false)
 	}
 }
--- a/internal/gateway/word.go
+++ b/internal/gateway/word.go
@@ -10,7 +10,7 @@
 )
 
 // hearWord takes what a target says of itself in an answer.
-func (g *Gateway) hearWord(t *catalog.Target, w Word, by registry.Teller) {
+func (g *Gateway) hearWord(t *catalog.Target, w Word, by registry.Source) {
 	if w.Leaving {
 		metric.LeavingWords.Inc()
 		g.hearLeaving(t, by)
@@ -23,22 +23,22 @@
 
 // giveRest keeps callers' requests from a target that wants none for some time. Each instance
 // goes by what it was told itself: a target asks those of which it gets too much.
-func (g *Gateway) giveRest(t *catalog.Target, rest time.Duration, by registry.Teller) {
+func (g *Gateway) giveRest(t *catalog.Target, rest time.Duration, by registry.Source) {
 	if next := g.answering(t, by); next != t {
-		t, rest = next, min(rest, registry.InheritedMost)
+		t, rest = next, min(rest, registry.InheritedNoticeTTL)
 	}
-	until, news := g.ejected.AskInAnswer(t.ID, rest, by.Sent)
+	until, news := g.ejected.RequestBackoffInResponse(t.ID, rest, by.RequestSent)
 	if !news {
 		return
 	}
 	g.log.WithField("target", t.ID).WithField("rest_ms", rest.Milliseconds()).WithField("until", until.UTC().Format(time.RFC3339Nano)).
-		WithField("from", by.From).WithField("by", by.By).Info("target asks for rest")
+		WithField("from", by.Channel).WithField("by", by.Reporter).Info("target asks for rest")
 }
 
 // answering is the life of a target that gave an answer: not the one that was meant, if another
 // has been listed meanwhile that had started before the request was sent.
-func (g *Gateway) answering(meant *catalog.Target, by registry.Teller) *catalog.Target {
-	if by.Sent.IsZero() {
+func (g *Gateway) answering(meant *catalog.Target, by registry.Source) *catalog.Target {
+	if by.RequestSent.IsZero() {
 		return meant
 	}
 	v := g.view.Load()
@@ -46,7 +46,7 @@
 		return meant
 	}
 	for _, t := range v.Targets {
-		if t.Name == meant.Name && t.Start > meant.Start && registry.Answered(t.Start, by.Sent, g.now()) {
+		if t.Name == meant.Name && t.Start > meant.Start && registry.StartedBeforeRequest(t.Start, by.RequestSent, g.now()) {
 			return t
 		}
 	}
@@ -59,7 +59,7 @@
 	if r.Start == 0 || asked.Start == 0 || r.Start == asked.Start {
 		return asked
 	}
-	other := catalog.Target{Name: asked.Name, Start: r.Start}.Identify()
+	other := catalog.Target{Name: asked.Name, Start: r.Start}.WithID()
 	return &other
 }
 
--- a/internal/loads/book.go
+++ b/internal/loadreport/book.go
@@ -1,4 +1,4 @@
-package loads
+package loadreport
 
 import (
 	"sync"
--- a/internal/loads/late_saves_test.go
+++ b/internal/loadreport/late_saves_test.go
@@ -1,4 +1,4 @@
-package loads_test
+package loadreport_test
 
 import (
 	"testing"
@@ -6,21 +6,21 @@
 
 	"github.com/matryer/is"
 
-	"github.com/shedhoist/shedhoist/internal/loads"
+	"github.com/shedhoist/shedhoist/internal/loadreport"
 )
 
 // TestLateSavesOfOthers guards against a late save that is forgotten while it is told, or remembered
 // when it no longer is.
 func TestLateSavesOfOthers(t *testing.T) {
 	is := is.New(t)
-	l := loads.NewLateSaves(age)
+	l := loadreport.NewPendingSaves(age)
 	now := time.Unix(0, 0)
-	l.Take("a", 2, []loads.Key{1, 2}, now)
-	l.Take("b", 1, []loads.Key{2}, now)
-	l.Take("a", 1, nil, now) // overtaken
+	l.Apply("a", 2, []loadreport.Key{1, 2}, now)
+	l.Apply("b", 1, []loadreport.Key{2}, now)
+	l.Apply("a", 1, nil, now) // overtaken
 	is.True(l.Has(1, now) && l.Has(2, now) && !l.Has(3, now))
-	l.Take("a", 3, nil, now)
+	l.Apply("a", 3, nil, now)
 	is.True(!l.Has(1, now) && l.Has(2, now))
-	is.Equal(len(l.Words(now)["b"]), 1)
+	is.Equal(len(l.Reports(now)["b"]), 1)
 	is.True(!l.Has(2, now.Add(age)))
 }
--- a/internal/loads/silences_test.go
+++ b/internal/loadreport/silences_test.go
@@ -1,4 +1,4 @@
-package loads
+package loadreport
 
 import (
 	"testing"
@@ -12,18 +12,18 @@
 func TestSilences(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	s := NewSilences(300 * time.Millisecond)
+	s := NewUnresponsiveTargets(300 * time.Millisecond)
 	is.True(s.Since(7, now).IsZero())
-	s.Take("a", 1, []Silent{{Target: 7, MS: 600}, {Target: 8, MS: 700}}, now)
-	s.Take("b", 1, []Silent{{Target: 7, MS: 900}}, now)
+	s.Apply("a", 1, []TargetAge{{Target: 7, AgeMS: 600}, {Target: 8, AgeMS: 700}}, now)
+	s.Apply("b", 1, []TargetAge{{Target: 7, AgeMS: 900}}, now)
 	is.Equal(s.Since(7, now), now.Add(-900*time.Millisecond))
 	is.Equal(s.Since(8, now), now.Add(-700*time.Millisecond))
-	s.Take("b", 2, nil, now)
+	s.Apply("b", 2, nil, now)
 	is.Equal(s.Since(7, now), now.Add(-600*time.Millisecond))
-	s.Take("a", 1, []Silent{{Target: 7, MS: 5000}}, now) // not newer
+	s.Apply("a", 1, []TargetAge{{Target: 7, AgeMS: 5000}}, now) // not newer
 	is.Equal(s.Since(7, now), now.Add(-600*time.Millisecond))
 	later := now.Add(200 * time.Millisecond)
-	is.Equal(len(s.Words(later)["a"]), 2)
+	is.Equal(len(s.Reports(later)["a"]), 2)
 	is.True(s.Since(7, now.Add(300*time.Millisecond)).IsZero())
 }
 
@@ -32,11 +32,11 @@
 func TestSilencesInAnyOrder(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	s := NewSilences(300 * time.Millisecond)
-	s.Take("a", 2, nil, now)
-	s.Take("a", 1, []Silent{{Target: 7, MS: 600}}, now)
+	s := NewUnresponsiveTargets(300 * time.Millisecond)
+	s.Apply("a", 2, nil, now)
+	s.Apply("a", 1, []TargetAge{{Target: 7, AgeMS: 600}}, now)
 	is.True(s.Since(7, now).IsZero())
-	s.Take("b", 1, []Silent{{Target: 7, MS: 900}, {Target: 7, MS: 600}}, now)
+	s.Apply("b", 1, []TargetAge{{Target: 7, AgeMS: 900}, {Target: 7, AgeMS: 600}}, now)
 	is.Equal(s.Since(7, now), now.Add(-900*time.Millisecond))
 }
 
@@ -44,11 +44,11 @@
 func TestSilencesBounded(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	told := make([]Silent, 10*MostSilent)
+	told := make([]TargetAge, 10*MaxUnresponsive)
 	for i := range told {
-		told[i] = Silent{Target: Key(i), MS: 600}
+		told[i] = TargetAge{Target: Key(i), AgeMS: 600}
 	}
-	s := NewSilences(time.Second)
-	s.Take("a", 1, told, now)
-	is.Equal(len(s.Words(now)["a"]), MostSilent)
+	s := NewUnresponsiveTargets(time.Second)
+	s.Apply("a", 1, told, now)
+	is.Equal(len(s.Reports(now)["a"]), MaxUnresponsive)
 }
--- a/internal/registry/leavers_vanish_test.go
+++ b/internal/registry/leavers_vanish_test.go
@@ -19,11 +19,11 @@
 		for i, name := range names {
 			targets = append(targets, life(name, 100, uint64(i+1)))
 		}
-		tt.List(5, targets, nil, at0)
+		tt.ApplyList(5, targets, nil, at0)
 		for i := range leavers {
-			tt.Leaves(LifeOf(&targets[i]), byAnswer, at0)
+			tt.ApplyLeavingNotice(IncarnationOf(&targets[i]), byAnswer, at0)
 		}
-		tt.Change(6, nil, names, at0)
+		tt.ApplyChanges(6, nil, names, at0)
 		is.Equal(tt.Entry("c") != nil, held)
 	}
 }
--- a/internal/registry/leaves.go
+++ b/internal/registry/leaves.go
@@ -20,7 +20,7 @@
 	saidLinger = 10 * time.Minute
 	// unbornLinger is the same for a life whose start is not told. The next of its name can't be
 	// told from it, and would be left out for as long as it has an entry.
-	unbornLinger = 5 * ReturnTime
+	unbornLinger = 5 * ReregistrationTimeout
 	// maxSaid bounds the lives without an entry that are remembered.
 	maxSaid = 4096
 	// maxName bounds the names of lives that peers speak of, in bytes.
@@ -31,39 +31,39 @@
 	clockDoubt = 100 * time.Millisecond
 )
 
-// InheritedMost is how long a life is left out by a word that it has inherited. Clocks may be wrong
+// InheritedNoticeTTL is how long a life is left out by a word that it has inherited. Clocks may be wrong
 // by more than clockDoubt; a life that leaves will mostly have ended by then, or says so again.
-const InheritedMost = 30 * time.Second
+const InheritedNoticeTTL = 30 * time.Second
 
-// Life names one life of a target.
-type Life struct {
+// Incarnation names one life of a target.
+type Incarnation struct {
 	Name  string `cbor:"1,keyasint"`
 	Start int64  `cbor:"2,keyasint,omitempty"` // as in catalog.Target
 }
 
-// LifeOf is the life that a target is.
-func LifeOf(t *catalog.Target) Life { return Life{Name: t.Name, Start: t.Start} }
+// IncarnationOf is the life that a target is.
+func IncarnationOf(t *catalog.Target) Incarnation { return Incarnation{Name: t.Name, Start: t.Start} }
 
 // linger is how long the life's word is remembered without an entry.
-func (l Life) linger() time.Duration {
+func (l Incarnation) linger() time.Duration {
 	if l.Start == 0 {
 		return unbornLinger
 	}
 	return saidLinger
 }
 
-// Teller is by whom something was learned of a target, for logs.
-type Teller struct {
-	From string // the way: an answer, a report, a peer
-	By   string // the request or the peer; "" if the way says it all
-	// Sent is when the request was sent whose answer says it, if that does not tell which life
+// Source is by whom something was learned of a target, for logs.
+type Source struct {
+	Channel  string // the way: an answer, a report, a peer
+	Reporter string // the request or the peer; "" if the way says it all
+	// RequestSent is when the request was sent whose answer says it, if that does not tell which life
 	// answers; zero: it does.
-	Sent time.Time
+	RequestSent time.Time
 }
 
-// Answered says whether a life that started at a time of its target's clock, Unix ms, has answered
+// StartedBeforeRequest says whether a life that started at a time of its target's clock, Unix ms, has answered
 // a request that was sent at a time: an earlier life has not answered what was sent after that.
-func Answered(start int64, sent, now time.Time) bool {
+func StartedBeforeRequest(start int64, sent, now time.Time) bool {
 	if start == 0 || sent.IsZero() {
 		return false
 	}
@@ -77,35 +77,35 @@
 	return min(then, now-age.Milliseconds())
 }
 
-// NextLife says that a target has started again under its name.
-type NextLife struct {
-	Before, ID string // of the lives
-	Start      int64  // of the new one
+// Restart says that a target has started again under its name.
+type Restart struct {
+	PreviousID, ID string // of the lives
+	Start          int64  // of the new one
 }
 
 // said is what is remembered of a life that has said that it leaves.
 type said struct {
 	number uint64    // rises with each life that was heard of
 	until  time.Time // when it is forgotten, unless it has an entry then
-	sent   time.Time // see catalog.Target.SaidTo
+	sent   time.Time // see catalog.Target.NoticeRequestSent
 	// inherited: clocks alone tell that the word is this life's. It is forgotten also while the
 	// life has an entry, and is not told to peers.
 	inherited bool
 }
 
-// Leaves takes that a life has said that it leaves. It says whether that is news to others: the
+// ApplyLeavingNotice takes that a life has said that it leaves. It says whether that is news to others: the
 // life has an entry, and this does not say so.
-func (t *Table) Leaves(l Life, by Teller, now time.Time) bool {
+func (t *Table) ApplyLeavingNotice(l Incarnation, by Source, now time.Time) bool {
 	x := t.byName[l.Name]
-	if x != nil && x.Start > l.Start && Answered(x.Start, by.Sent, now) {
-		t.inherit(&x.Target, by.Sent, now, Teller{From: by.From, By: by.By})
+	if x != nil && x.Start > l.Start && StartedBeforeRequest(x.Start, by.RequestSent, now) {
+		t.inherit(&x.Target, by.RequestSent, now, Source{Channel: by.Channel, Reporter: by.Reporter})
 		return false
 	}
-	listed := x != nil && LifeOf(&x.Target) == l
+	listed := x != nil && IncarnationOf(&x.Target) == l
 	s, known := t.said[l]
 	if known && !s.inherited {
-		if by.Sent.After(s.sent) {
-			s.sent = by.Sent
+		if by.RequestSent.After(s.sent) {
+			s.sent = by.RequestSent
 			t.said[l] = s
 			t.renew(x, listed)
 		}
@@ -115,7 +115,7 @@
 		return false
 	}
 	t.saidNumber++
-	t.said[l] = said{number: t.saidNumber, until: now.Add(l.linger()), sent: latest(s.sent, by.Sent)}
+	t.said[l] = said{number: t.saidNumber, until: now.Add(l.linger()), sent: latest(s.sent, by.RequestSent)}
 	t.renew(x, listed)
 	if !listed || x.Leaving {
 		return false
@@ -125,8 +125,8 @@
 }
 
 // inherit takes that a life has said that it leaves, as far as clocks tell.
-func (t *Table) inherit(x *catalog.Target, sent, now time.Time, by Teller) {
-	l := LifeOf(x)
+func (t *Table) inherit(x *catalog.Target, sent, now time.Time, by Source) {
+	l := IncarnationOf(x)
 	s, known := t.said[l]
 	if known && !sent.After(s.sent) {
 		return
@@ -134,16 +134,16 @@
 	s.sent = sent
 	if !known {
 		t.saidNumber++
-		s.number, s.inherited, s.until = t.saidNumber, true, now.Add(InheritedMost)
+		s.number, s.inherited, s.until = t.saidNumber, true, now.Add(InheritedNoticeTTL)
 		t.logLeaves(x, by)
 	}
 	t.said[l] = s
 	e := t.byName[l.Name]
-	t.renew(e, e != nil && LifeOf(&e.Target) == l)
+	t.renew(e, e != nil && IncarnationOf(&e.Target) == l)
 }
 
-func (t *Table) logLeaves(x *catalog.Target, by Teller) {
-	t.opts.Log.WithField("target", x.ID).WithField("from", by.From).WithField("by", by.By).Info("target leaves")
+func (t *Table) logLeaves(x *catalog.Target, by Source) {
+	t.opts.Log.WithField("target", x.ID).WithField("from", by.Channel).WithField("by", by.Reporter).Info("target leaves")
 }
 
 func latest(a, b time.Time) time.Time {
@@ -161,8 +161,8 @@
 	}
 }
 
-// OnNextLife has f called with each life that follows another of its name, before it is listed.
-func (t *Table) OnNextLife(f func(NextLife)) { t.onNextLife = f }
+// OnRestart has f called with each life that follows another of its name, before it is listed.
+func (t *Table) OnRestart(f func(Restart)) { t.onNextLife = f }
 
 // follow takes that a life follows one that started before: what the new one has said already was
 // noted of the other.
@@ -170,13 +170,13 @@
 	if x.Start <= before {
 		return
 	}
-	old := Life{Name: x.Name, Start: before}
-	id := catalog.Target{Name: old.Name, Start: old.Start}.Identify().ID
-	if s, spoke := t.said[old]; spoke && Answered(x.Start, s.sent, now) {
-		t.inherit(x, s.sent, now, Teller{From: fromLifeBefore, By: id})
+	old := Incarnation{Name: x.Name, Start: before}
+	id := catalog.Target{Name: old.Name, Start: old.Start}.WithID().ID
+	if s, spoke := t.said[old]; spoke && StartedBeforeRequest(x.Start, s.sent, now) {
+		t.inherit(x, s.sent, now, Source{Channel: fromLifeBefore, Reporter: id})
 	}
 	if t.onNextLife != nil {
-		t.onNextLife(NextLife{Before: id, ID: x.ID, Start: x.Start})
+		t.onNextLife(Restart{PreviousID: id, ID: x.ID, Start: x.Start})
 	}
 }
 
@@ -184,7 +184,7 @@
 const fromLifeBefore = "life-before"
 
 // mayCome says whether the entry of a life that has none may come, and its word be kept.
-func (t *Table) mayCome(l Life) bool {
+func (t *Table) mayCome(l Incarnation) bool {
 	latest := t.gone[l.Name].start
 	if x := t.byName[l.Name]; x != nil {
 		latest = max(latest, x.Start)
@@ -192,16 +192,16 @@
 	return l.Start >= latest && len(l.Name) <= maxName && len(t.said) < maxSaid
 }
 
-// SaidOnly returns the lives that have said that they leave and whose entries don't say so, the
+// LeavingByNotice returns the lives that have said that they leave and whose entries don't say so, the
 // one heard of last first.
-func (t *Table) SaidOnly() []Life {
-	var out []Life
+func (t *Table) LeavingByNotice() []Incarnation {
+	var out []Incarnation
 	for l, s := range t.said {
-		if x := t.byName[l.Name]; x != nil && LifeOf(&x.Target) == l && !x.Leaving && !s.inherited {
+		if x := t.byName[l.Name]; x != nil && IncarnationOf(&x.Target) == l && !x.Leaving && !s.inherited {
 			out = append(out, l)
 		}
 	}
-	slices.SortFunc(out, func(a, b Life) int { return cmp.Compare(t.said[b].number, t.said[a].number) })
+	slices.SortFunc(out, func(a, b Incarnation) int { return cmp.Compare(t.said[b].number, t.said[a].number) })
 	return out
 }
 
@@ -217,7 +217,7 @@
 	t.saidSwept = now
 	for l, s := range t.said {
 		x := t.byName[l.Name]
-		listed := x != nil && LifeOf(&x.Target) == l
+		listed := x != nil && IncarnationOf(&x.Target) == l
 		switch {
 		case listed && !s.inherited:
 			s.until = now.Add(l.linger())
--- a/internal/registry/next_life_test.go
+++ b/internal/registry/next_life_test.go
@@ -29,7 +29,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(Answered(c.start, c.sent, c.now), c.want)
+			is.Equal(StartedBeforeRequest(c.start, c.sent, c.now), c.want)
 		})
 	}
 }
@@ -48,15 +48,15 @@
 func TestNextLife(t *testing.T) {
 	const first, next = 900_000, 950_000 // starts, Unix ms
 	ways := map[string]func(tt *Table){
-		"a change": func(tt *Table) { tt.Change(6, []catalog.Target{life("a", next, 6)}, nil, at0) },
-		"a list":   func(tt *Table) { tt.List(6, []catalog.Target{life("a", next, 6)}, nil, at0) },
+		"a change": func(tt *Table) { tt.ApplyChanges(6, []catalog.Target{life("a", next, 6)}, nil, at0) },
+		"a list":   func(tt *Table) { tt.ApplyList(6, []catalog.Target{life("a", next, 6)}, nil, at0) },
 		"it vanishes and returns": func(tt *Table) {
-			tt.Change(6, nil, []string{"a"}, at0)
-			tt.Change(7, []catalog.Target{life("a", next, 7)}, nil, at0)
+			tt.ApplyChanges(6, nil, []string{"a"}, at0)
+			tt.ApplyChanges(7, []catalog.Target{life("a", next, 7)}, nil, at0)
 		},
 		"it can't be read at first": func(tt *Table) {
-			tt.Change(6, []catalog.Target{catalog.Target{Name: "a", Revision: 6, Unusable: true}.Identify()}, nil, at0)
-			tt.Change(7, []catalog.Target{life("a", next, 7)}, nil, at0)
+			tt.ApplyChanges(6, []catalog.Target{catalog.Target{Name: "a", Revision: 6, Unusable: true}.WithID()}, nil, at0)
+			tt.ApplyChanges(7, []catalog.Target{life("a", next, 7)}, nil, at0)
 		},
 	}
 	words := []struct {
@@ -74,17 +74,17 @@
 			t.Run(w.name+", "+how, func(t *testing.T) {
 				is := is.New(t)
 				tt := table()
-				var told []NextLife
-				tt.OnNextLife(func(n NextLife) { told = append(told, n) })
-				tt.List(5, []catalog.Target{life("a", first, 1)}, nil, at0)
+				var told []Restart
+				tt.OnRestart(func(n Restart) { told = append(told, n) })
+				tt.ApplyList(5, []catalog.Target{life("a", first, 1)}, nil, at0)
 				is.Equal(len(told), 0)
 				for _, ms := range w.sent {
-					tt.Leaves(Life{"a", first}, Teller{From: "answer", Sent: time.UnixMilli(ms)}, at0)
+					tt.ApplyLeavingNotice(Incarnation{"a", first}, Source{Channel: "answer", RequestSent: time.UnixMilli(ms)}, at0)
 				}
 				come(tt)
-				is.Equal(tt.Entry("a").Leaves(), w.leaves)
-				is.Equal(told, []NextLife{{Before: "a@900000", ID: "a@950000", Start: next}})
-				is.Equal(len(tt.SaidOnly()), 0) // peers go by what they hear
+				is.Equal(tt.Entry("a").IsLeaving(), w.leaves)
+				is.Equal(told, []Restart{{PreviousID: "a@900000", ID: "a@950000", Start: next}})
+				is.Equal(len(tt.LeavingByNotice()), 0) // peers go by what they hear
 			})
 		}
 	}
@@ -96,9 +96,9 @@
 	for sent, leaves := range map[int64]bool{910_000: false, 960_000: true} {
 		is := is.New(t)
 		tt := table()
-		tt.List(5, []catalog.Target{life("a", 950_000, 1)}, nil, at0)
-		is.True(!tt.Leaves(Life{"a", 900_000}, Teller{From: "answer", Sent: time.UnixMilli(sent)}, at0)) // peers go by what they hear
-		is.Equal(tt.Entry("a").Leaves(), leaves)
+		tt.ApplyList(5, []catalog.Target{life("a", 950_000, 1)}, nil, at0)
+		is.True(!tt.ApplyLeavingNotice(Incarnation{"a", 900_000}, Source{Channel: "answer", RequestSent: time.UnixMilli(sent)}, at0)) // peers go by what they hear
+		is.Equal(tt.Entry("a").IsLeaving(), leaves)
 	}
 }
 
@@ -107,12 +107,12 @@
 func TestSaidByPeersFirst(t *testing.T) {
 	is := is.New(t)
 	tt := table()
-	tt.List(5, []catalog.Target{life("a", 900_000, 1)}, nil, at0)
-	tt.Leaves(Life{"a", 900_000}, Teller{From: "peer", By: "e-1"}, at0)
-	is.True(tt.Entry("a").SaidTo.IsZero())
+	tt.ApplyList(5, []catalog.Target{life("a", 900_000, 1)}, nil, at0)
+	tt.ApplyLeavingNotice(Incarnation{"a", 900_000}, Source{Channel: "peer", Reporter: "e-1"}, at0)
+	is.True(tt.Entry("a").NoticeRequestSent.IsZero())
 	edits, sent := tt.Edits(), time.UnixMilli(960_000)
-	is.True(!tt.Leaves(Life{"a", 900_000}, Teller{From: "answer", Sent: sent}, at0))
-	is.True(tt.Entry("a").SaidTo.Equal(sent))
+	is.True(!tt.ApplyLeavingNotice(Incarnation{"a", 900_000}, Source{Channel: "answer", RequestSent: sent}, at0))
+	is.True(tt.Entry("a").NoticeRequestSent.Equal(sent))
 	is.True(tt.Edits() > edits) // readers see it
 }
 
@@ -123,17 +123,17 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			tt := table()
-			tt.List(5, []catalog.Target{life("a", 900_000, 1)}, nil, at0)
-			tt.Leaves(Life{"a", 900_000}, Teller{From: "answer", Sent: time.UnixMilli(960_000)}, at0)
-			tt.Change(6, []catalog.Target{life("a", 950_000, 6)}, nil, at0)
+			tt.ApplyList(5, []catalog.Target{life("a", 900_000, 1)}, nil, at0)
+			tt.ApplyLeavingNotice(Incarnation{"a", 900_000}, Source{Channel: "answer", RequestSent: time.UnixMilli(960_000)}, at0)
+			tt.ApplyChanges(6, []catalog.Target{life("a", 950_000, 6)}, nil, at0)
 			if own {
-				is.True(tt.Leaves(Life{"a", 950_000}, Teller{From: "report"}, at0))
+				is.True(tt.ApplyLeavingNotice(Incarnation{"a", 950_000}, Source{Channel: "report"}, at0))
 			}
-			is.Equal(len(tt.SaidOnly()) > 0, own) // peers are told
-			tt.Expire(at0.Add(InheritedMost))
-			is.True(tt.Entry("a").Leaves())
-			is.Equal(tt.Expire(at0.Add(InheritedMost+2*saidSweep)), !own) // readers see it
-			is.Equal(tt.Entry("a").Leaves(), own)
+			is.Equal(len(tt.LeavingByNotice()) > 0, own) // peers are told
+			tt.Expire(at0.Add(InheritedNoticeTTL))
+			is.True(tt.Entry("a").IsLeaving())
+			is.Equal(tt.Expire(at0.Add(InheritedNoticeTTL+2*saidSweep)), !own) // readers see it
+			is.Equal(tt.Entry("a").IsLeaving(), own)
 		})
 	}
 }
--- a/internal/registry/table.go
+++ b/internal/registry/table.go
@@ -28,8 +28,8 @@
 	Log log.Interface
 	// Rank orders the targets for this instance, by name.
 	Rank func(name string) uint64
-	// Linger is how long a life that ended is remembered: others may hold on to it.
-	Linger time.Duration
+	// DepartureRetention is how long a life that ended is remembered: others may hold on to it.
+	DepartureRetention time.Duration
 }
 
 // Entry is a target with its doubt.
@@ -62,12 +62,12 @@
 	revision platform.Version
 	changed  platform.Version
 	gone     map[string]vanished
-	goneFrom platform.Version // from which on gone is complete
-	said     map[Life]said    // see Leaves
+	goneFrom platform.Version     // from which on gone is complete
+	said     map[Incarnation]said // see Leaves
 	// saidNumber is the number of the last of said.
 	saidNumber uint64
 	saidSwept  time.Time // see expireSaid
-	onNextLife func(NextLife)
+	onNextLife func(Restart)
 	departed   []Departure
 	listed     bool
 	regained   time.Time // when contact with the object store was regained
@@ -75,14 +75,14 @@
 
 // New returns an empty table.
 func New(o Options) *Table {
-	return &Table{opts: o, byName: map[string]*Entry{}, names: map[string]string{}, held: map[string]bool{}, gone: map[string]vanished{}, said: map[Life]said{}}
+	return &Table{opts: o, byName: map[string]*Entry{}, names: map[string]string{}, held: map[string]bool{}, gone: map[string]vanished{}, said: map[Incarnation]said{}}
 }
 
 // Revision is the object store's revision up to which the table is complete.
 func (t *Table) Revision() platform.Version { return t.revision }
 
-// Changed is the revision of the last change.
-func (t *Table) Changed() platform.Version { return t.changed }
+// LastChange is the revision of the last change.
+func (t *Table) LastChange() platform.Version { return t.changed }
 
 // Listed says whether the targets were listed at all.
 func (t *Table) Listed() bool { return t.listed }
@@ -97,15 +97,15 @@
 // Entry returns the entry of a name, or nil.
 func (t *Table) Entry(name string) *Entry { return t.byName[name] }
 
-// Departed returns the lives that ended lately.
-func (t *Table) Departed() []Departure { return slices.Clone(t.departed) }
+// Departures returns the lives that ended lately.
+func (t *Table) Departures() []Departure { return slices.Clone(t.departed) }
 
-// ContactRegained says that the object store answers again.
-func (t *Table) ContactRegained(now time.Time) { t.regained = now }
+// StoreReconnected says that the object store answers again.
+func (t *Table) StoreReconnected(now time.Time) { t.regained = now }
 
-// List replaces the list by that of a later revision. Of its targets those that vanished
+// ApplyList replaces the list by that of a later revision. Of its targets those that vanished
 // are named apart: whoever told the list holds them for their return.
-func (t *Table) List(revision platform.Version, targets []catalog.Target, vanished []string, now time.Time) {
+func (t *Table) ApplyList(revision platform.Version, targets []catalog.Target, vanished []string, now time.Time) {
 	if t.listed && revision < t.revision {
 		return
 	}
@@ -128,8 +128,8 @@
 	t.take(revision, targets, gone, now, lines)
 }
 
-// Change takes what changed up to a revision.
-func (t *Table) Change(revision platform.Version, present []catalog.Target, gone []string, now time.Time) {
+// ApplyChanges takes what changed up to a revision.
+func (t *Table) ApplyChanges(revision platform.Version, present []catalog.Target, gone []string, now time.Time) {
 	t.take(revision, present, gone, now, linesAtOnce)
 	if t.leftOut > 0 {
 		t.opts.Log.WithField("targets", len(present)+len(gone)).WithField("lines_left_out", t.leftOut).WithField("revision", uint64(t.revision)).Info("targets changed")
@@ -146,7 +146,7 @@
 	if len(gone) > 0 {
 		t.changed = max(t.changed, revision)
 	}
-	until := t.regained.Add(ReturnTime)
+	until := t.regained.Add(ReregistrationTimeout)
 	if t.sudden(gone) >= massLapse && until.Before(now) {
 		until = now.Add(massHold)
 	}
@@ -215,7 +215,7 @@
 // though an entry may be older than what the target's own answers told.
 func (t *Table) putUsable(old *Entry, x catalog.Target, now time.Time) {
 	again := old != nil && old.ID != x.ID
-	x.ColdUntil = coldUntil(old, &x, now)
+	x.WarmupUntil = coldUntil(old, &x, now)
 	switch {
 	case again:
 		t.remove(old.Name, now)
@@ -226,7 +226,7 @@
 	t.set(next)
 	noted := old == nil || again || old.Unusable || old.Leaving != x.Leaving || !slices.Equal(old.Models, x.Models)
 	if noted && t.mayLog() {
-		t.entryLog(x.Name).WithField("start", x.Start).WithField("again", again).WithField("service", x.Service).WithField("leaving", next.Leaves()).
+		t.entryLog(x.Name).WithField("start", x.Start).WithField("again", again).WithField("service", x.Service).WithField("leaving", next.IsLeaving()).
 			WithField("models", x.Models).WithField("revision", uint64(t.revision)).Info("target changed")
 	}
 }
@@ -236,11 +236,11 @@
 func coldUntil(old *Entry, x *catalog.Target, now time.Time) time.Time {
 	switch {
 	case old != nil && old.ID == x.ID && old.Revision == x.Revision:
-		return old.ColdUntil
-	case x.ColdMS <= 0:
+		return old.WarmupUntil
+	case x.WarmupMS <= 0:
 		return time.Time{}
 	}
-	return now.Add(time.Duration(x.ColdMS) * time.Millisecond)
+	return now.Add(time.Duration(x.WarmupMS) * time.Millisecond)
 }
 
 // newest is models, none older than before.
@@ -256,15 +256,15 @@
 	return out
 }
 
-// Serves takes a target's own word of its weights. id names the life that gave it; the
+// ApplyWeightVersion takes a target's own word of its weights. id names the life that gave it; the
 // word of one that ended says nothing.
-func (t *Table) Serves(id string, at catalog.ModelVersion) {
+func (t *Table) ApplyWeightVersion(id string, at catalog.ModelVersion) {
 	name, known := t.names[id]
 	if !known {
 		return
 	}
 	x := t.byName[name]
-	if x.VersionOf(at.Model) >= at.Version {
+	if x.WeightVersion(at.Model) >= at.Version {
 		return
 	}
 	next := *x
@@ -275,8 +275,8 @@
 
 // set keeps an entry in place of the one of its name.
 func (t *Table) set(x *Entry) {
-	s, said := t.said[LifeOf(&x.Target)]
-	x.SaidLeaving, x.SaidInherited, x.SaidTo = said, s.inherited, s.sent
+	s, said := t.said[IncarnationOf(&x.Target)]
+	x.LeavingNotice, x.NoticeInherited, x.NoticeRequestSent = said, s.inherited, s.sent
 	old := t.byName[x.Name]
 	if old != nil {
 		x.Rank = old.Rank
@@ -302,7 +302,7 @@
 
 // remove drops an entry; its life has ended.
 func (t *Table) remove(name string, now time.Time) {
-	t.departed = slices.DeleteFunc(t.departed, func(d Departure) bool { return now.Sub(d.At) >= t.opts.Linger })
+	t.departed = slices.DeleteFunc(t.departed, func(d Departure) bool { return now.Sub(d.At) >= t.opts.DepartureRetention })
 	x := t.byName[name]
 	if len(x.Models) > 0 {
 		t.departed = append(t.departed, Departure{Models: x.Models, At: now})
@@ -324,7 +324,7 @@
 // sameTarget says whether two words of a target differ in nothing that readers use.
 func sameTarget(a, b *catalog.Target) bool {
 	return a.ID == b.ID && a.Unusable == b.Unusable && a.Service == b.Service && a.Address == b.Address && a.Zone == b.Zone &&
-		a.Leaving == b.Leaving && a.SaidLeaving == b.SaidLeaving && a.SaidInherited == b.SaidInherited && a.SaidTo.Equal(b.SaidTo) && a.ColdUntil.Equal(b.ColdUntil) && slices.Equal(a.Models, b.Models)
+		a.Leaving == b.Leaving && a.LeavingNotice == b.LeavingNotice && a.NoticeInherited == b.NoticeInherited && a.NoticeRequestSent.Equal(b.NoticeRequestSent) && a.WarmupUntil.Equal(b.WarmupUntil) && slices.Equal(a.Models, b.Models)
 }
 
 // mayLog says whether one more line may be written of the present word.
--- a/internal/registry/table_test.go
+++ b/internal/registry/table_test.go
@@ -17,14 +17,14 @@
 const testLinger = 4 * time.Second
 
 func table() *Table {
-	return New(Options{Log: &log.Logger{Handler: discard.Default}, Rank: func(string) uint64 { return 1 }, Linger: testLinger})
+	return New(Options{Log: &log.Logger{Handler: discard.Default}, Rank: func(string) uint64 { return 1 }, DepartureRetention: testLinger})
 }
 
 func entry(name string, revision uint64) catalog.Target { return life(name, 0, revision) }
 
 // life is the entry of one life of a target.
 func life(name string, start int64, revision uint64) catalog.Target {
-	return catalog.Target{Name: name, Start: start, Revision: revision, Service: "s", Models: []catalog.ModelVersion{{Model: "m", Version: 1}}}.Identify()
+	return catalog.Target{Name: name, Start: start, Revision: revision, Service: "s", Models: []catalog.ModelVersion{{Model: "m", Version: 1}}}.WithID()
 }
 
 var at0 = time.Unix(1000, 0)
@@ -33,8 +33,8 @@
 func TestVanish(t *testing.T) {
 	is := is.New(t)
 	tt := table()
-	tt.List(5, []catalog.Target{entry("a", 1), entry("b", 2)}, nil, at0)
-	tt.Change(6, nil, []string{"a"}, at0)
+	tt.ApplyList(5, []catalog.Target{entry("a", 1), entry("b", 2)}, nil, at0)
+	tt.ApplyChanges(6, nil, []string{"a"}, at0)
 	is.Equal(len(tt.byName), 1)
 }
 
@@ -45,13 +45,13 @@
 	tt := table()
 	leaving := entry("leaving", 3)
 	leaving.Leaving = true
-	tt.List(5, []catalog.Target{entry("back", 1), entry("gone", 2), leaving}, nil, at0)
-	tt.ContactRegained(at0)
-	tt.List(9, nil, nil, at0)
+	tt.ApplyList(5, []catalog.Target{entry("back", 1), entry("gone", 2), leaving}, nil, at0)
+	tt.StoreReconnected(at0)
+	tt.ApplyList(9, nil, nil, at0)
 	is.Equal(len(tt.byName), 2)
-	tt.Change(10, []catalog.Target{entry("back", 10)}, nil, at0.Add(time.Second))
-	is.True(!tt.Expire(at0.Add(ReturnTime - time.Millisecond)))
-	is.True(tt.Expire(at0.Add(ReturnTime)))
+	tt.ApplyChanges(10, []catalog.Target{entry("back", 10)}, nil, at0.Add(time.Second))
+	is.True(!tt.Expire(at0.Add(ReregistrationTimeout - time.Millisecond)))
+	is.True(tt.Expire(at0.Add(ReregistrationTimeout)))
 	is.Equal(len(tt.byName), 1)
 	is.True(tt.byName["back"] != nil)
 }
@@ -68,8 +68,8 @@
 		all = append(all, entry(fmt.Sprint(i), 1))
 		ids = append(ids, fmt.Sprint(i))
 	}
-	tt.List(5, all, nil, at0)
-	tt.Change(6, nil, ids, at0)
+	tt.ApplyList(5, all, nil, at0)
+	tt.ApplyChanges(6, nil, ids, at0)
 	is.Equal(len(tt.byName), massLapse)
 	tt.Expire(at0.Add(1500 * time.Millisecond))
 	is.Equal(len(tt.byName), 0)
@@ -80,17 +80,17 @@
 func TestOvertaken(t *testing.T) {
 	is := is.New(t)
 	tt := table()
-	tt.List(5, []catalog.Target{entry("a", 1), entry("b", 2)}, nil, at0)
+	tt.ApplyList(5, []catalog.Target{entry("a", 1), entry("b", 2)}, nil, at0)
 	draining := entry("a", 8)
 	draining.Leaving = true
-	tt.List(9, []catalog.Target{draining}, nil, at0) // by a peer
+	tt.ApplyList(9, []catalog.Target{draining}, nil, at0) // by a peer
 	is.True(tt.byName["a"].Leaving)
-	tt.Change(7, []catalog.Target{entry("a", 6), entry("b", 7)}, nil, at0) // late, by the store
+	tt.ApplyChanges(7, []catalog.Target{entry("a", 6), entry("b", 7)}, nil, at0) // late, by the store
 	is.True(tt.byName["a"].Leaving)
 	is.True(tt.byName["b"] == nil)
-	tt.Change(12, []catalog.Target{entry("b", 12)}, nil, at0)
+	tt.ApplyChanges(12, []catalog.Target{entry("b", 12)}, nil, at0)
 	is.True(tt.byName["b"] != nil)
-	tt.List(8, nil, nil, at0) // an old list
+	tt.ApplyList(8, nil, nil, at0) // an old list
 	is.Equal(len(tt.byName), 2)
 }
 
@@ -98,10 +98,10 @@
 func TestServes(t *testing.T) {
 	is := is.New(t)
 	tt := table()
-	tt.List(5, []catalog.Target{entry("a", 1)}, nil, at0)
-	tt.Serves("a", catalog.ModelVersion{Model: "m", Version: 3})
-	tt.Change(6, []catalog.Target{entry("a", 6)}, nil, at0)
-	is.Equal(tt.byName["a"].VersionOf("m"), uint64(3))
+	tt.ApplyList(5, []catalog.Target{entry("a", 1)}, nil, at0)
+	tt.ApplyWeightVersion("a", catalog.ModelVersion{Model: "m", Version: 3})
+	tt.ApplyChanges(6, []catalog.Target{entry("a", 6)}, nil, at0)
+	is.Equal(tt.byName["a"].WeightVersion("m"), uint64(3))
 }
 
 // TestSince: a peer that knows up to a revision is told what changed since, and one
@@ -109,22 +109,22 @@
 func TestSince(t *testing.T) {
 	is := is.New(t)
 	tt := table()
-	tt.List(5, []catalog.Target{entry("a", 1), entry("b", 2), entry("c", 3)}, nil, at0)
-	tt.Change(7, []catalog.Target{entry("b", 7)}, []string{"a"}, at0)
-	entries, gone, all := tt.Since(5)
+	tt.ApplyList(5, []catalog.Target{entry("a", 1), entry("b", 2), entry("c", 3)}, nil, at0)
+	tt.ApplyChanges(7, []catalog.Target{entry("b", 7)}, []string{"a"}, at0)
+	entries, gone, all := tt.ChangesSince(5)
 	is.True(!all)
 	is.Equal(len(entries), 1)
 	is.Equal(entries[0].Name, "b")
 	is.Equal(gone, []string{"a"})
 	peer := table()
-	peer.List(5, []catalog.Target{entry("a", 1), entry("b", 2), entry("c", 3)}, nil, at0)
-	peer.Change(7, entries, gone, at0)
+	peer.ApplyList(5, []catalog.Target{entry("a", 1), entry("b", 2), entry("c", 3)}, nil, at0)
+	peer.ApplyChanges(7, entries, gone, at0)
 	is.Equal(len(peer.byName), 2)
 	is.Equal(peer.byName["b"].Revision, uint64(7))
-	entries, _, all = tt.Since(4)
+	entries, _, all = tt.ChangesSince(4)
 	is.True(all)
 	is.Equal(len(entries), 2)
-	entries, gone, all = tt.Since(7)
+	entries, gone, all = tt.ChangesSince(7)
 	is.True(!all && len(entries) == 0 && len(gone) == 0)
 }
 
@@ -133,24 +133,24 @@
 func TestStartsAgain(t *testing.T) {
 	is := is.New(t)
 	tt := table()
-	tt.List(5, []catalog.Target{life("a", 100, 1)}, nil, at0)
+	tt.ApplyList(5, []catalog.Target{life("a", 100, 1)}, nil, at0)
 	before := tt.Entry("a").ID
-	tt.Serves(before, catalog.ModelVersion{Model: "m", Version: 3})
-	tt.Change(6, []catalog.Target{life("a", 200, 6)}, nil, at0)
+	tt.ApplyWeightVersion(before, catalog.ModelVersion{Model: "m", Version: 3})
+	tt.ApplyChanges(6, []catalog.Target{life("a", 200, 6)}, nil, at0)
 	x := tt.Entry("a")
 	is.True(x.ID != before)
-	is.Equal(x.VersionOf("m"), uint64(1)) // the weights that it says
-	is.Equal(len(tt.Departed()), 1)       // others may hold on to the one before
-	tt.Serves(before, catalog.ModelVersion{Model: "m", Version: 9})
-	is.Equal(tt.Entry("a").VersionOf("m"), uint64(1))
+	is.Equal(x.WeightVersion("m"), uint64(1)) // the weights that it says
+	is.Equal(len(tt.Departures()), 1)         // others may hold on to the one before
+	tt.ApplyWeightVersion(before, catalog.ModelVersion{Model: "m", Version: 9})
+	is.Equal(tt.Entry("a").WeightVersion("m"), uint64(1))
 
-	tt.Change(7, []catalog.Target{life("a", 100, 7)}, nil, at0) // a write of the life before
+	tt.ApplyChanges(7, []catalog.Target{life("a", 100, 7)}, nil, at0) // a write of the life before
 	is.Equal(tt.Entry("a").ID, x.ID)
 	is.Equal(tt.Entry("a").Revision, uint64(7)) // the list is complete all the same
-	tt.Change(8, nil, []string{"a"}, at0)
-	tt.Change(9, []catalog.Target{life("a", 100, 9)}, nil, at0) // the same after its entry is gone
+	tt.ApplyChanges(8, nil, []string{"a"}, at0)
+	tt.ApplyChanges(9, []catalog.Target{life("a", 100, 9)}, nil, at0) // the same after its entry is gone
 	is.True(tt.Entry("a").Unusable)
-	tt.Change(10, []catalog.Target{life("a", 300, 10)}, nil, at0)
+	tt.ApplyChanges(10, []catalog.Target{life("a", 300, 10)}, nil, at0)
 	is.True(!tt.Entry("a").Unusable)
 	is.Equal(len(tt.Entries()), 1)
 }
@@ -161,24 +161,24 @@
 func TestUnusable(t *testing.T) {
 	is := is.New(t)
 	bad := func(revision uint64) catalog.Target {
-		return catalog.Target{Name: "a", Revision: revision, Unusable: true}.Identify()
+		return catalog.Target{Name: "a", Revision: revision, Unusable: true}.WithID()
 	}
 	tt := table()
-	tt.List(5, []catalog.Target{life("a", 100, 1), entry("b", 2)}, nil, at0)
+	tt.ApplyList(5, []catalog.Target{life("a", 100, 1), entry("b", 2)}, nil, at0)
 	id := tt.Entry("a").ID
-	tt.Serves(id, catalog.ModelVersion{Model: "m", Version: 2})
+	tt.ApplyWeightVersion(id, catalog.ModelVersion{Model: "m", Version: 2})
 	for _, x := range []catalog.Target{bad(6), life("a", 0, 8)} {
 		revision, edits := x.Revision, tt.Edits()
-		tt.Change(platform.Version(revision), []catalog.Target{x}, nil, at0)
+		tt.ApplyChanges(platform.Version(revision), []catalog.Target{x}, nil, at0)
 		is.True(tt.Entry("a").Unusable)
 		is.True(!tt.Entry("b").Unusable)
 		is.True(tt.Edits() > edits)
-		entries, _, all := tt.Since(platform.Version(revision - 1))
+		entries, _, all := tt.ChangesSince(platform.Version(revision - 1))
 		is.True(!all && len(entries) == 1 && entries[0].Unusable)
 
-		tt.Change(platform.Version(revision+1), []catalog.Target{life("a", 100, revision+1)}, nil, at0)
+		tt.ApplyChanges(platform.Version(revision+1), []catalog.Target{life("a", 100, revision+1)}, nil, at0)
 		is.True(!tt.Entry("a").Unusable)
 		is.Equal(tt.Entry("a").ID, id)
-		is.Equal(tt.Entry("a").VersionOf("m"), uint64(2))
+		is.Equal(tt.Entry("a").WeightVersion("m"), uint64(2))
 	}
 }
--- a/internal/registry/vanish.go
+++ b/internal/registry/vanish.go
@@ -13,9 +13,9 @@
 
 // Times of held entries.
 const (
-	// ReturnTime is how long after the object store's return an entry that lapsed
+	// ReregistrationTimeout is how long after the object store's return an entry that lapsed
 	// meanwhile may take to be written again.
-	ReturnTime = 2 * time.Second
+	ReregistrationTimeout = 2 * time.Second
 	// massLapse is how many entries that were not leaving must vanish at once to
 	// be taken for lapsed rather than gone: an outage may end before it is noticed.
 	massLapse = 3
@@ -36,7 +36,7 @@
 func (t *Table) sudden(gone []string) int {
 	n := 0
 	for _, name := range gone {
-		if x := t.byName[name]; x != nil && !x.Leaves() {
+		if x := t.byName[name]; x != nil && !x.IsLeaving() {
 			n++
 		}
 	}
@@ -54,7 +54,7 @@
 	if x == nil || x.Held() {
 		return // it came and went since the last word, or is held already; others may know it
 	}
-	if !x.Leaves() && !x.Unusable && until.After(now) {
+	if !x.IsLeaving() && !x.Unusable && until.After(now) {
 		t.set(&Entry{Target: x.Target, until: until})
 		if t.mayLog() {
 			t.entryLog(name).WithField("for_ms", until.Sub(now).Milliseconds()).Info("target's entry vanished, held")
@@ -94,10 +94,10 @@
 	return changed
 }
 
-// Since returns what changed after a revision: entries, and names that are gone. If
+// ChangesSince returns what changed after a revision: entries, and names that are gone. If
 // that is not known it returns all entries, and all is true; gone then names those among
 // them that vanished and are held here.
-func (t *Table) Since(revision platform.Version) (entries []catalog.Target, gone []string, all bool) {
+func (t *Table) ChangesSince(revision platform.Version) (entries []catalog.Target, gone []string, all bool) {
 	if revision < t.goneFrom {
 		return t.all(), slices.Sorted(maps.Keys(t.held)), true
 	}
