--- a/internal/core/cachestore/bounds.go
+++ b/internal/core/cachestore/bounds.go
@@ -2,61 +2,65 @@
 
 import "time"
 
-// Bounds keep saves and fetches of one part of one store apart, by ages alone: instances agree
-// on the bounds, and on nothing else. A save has no end of its own, and nothing that is sent
-// with it binds it to the epoch in which it was decided. So a part may be written anew after
-// its store has started again, empty, by an instance that knew neither of the part nor of the
-// start. The others must not fetch it meanwhile.
+// Bounds are the time limits that prevent an instance from fetching a part while another
+// instance's save rewrites it. Instances share these durations and coordinate in no other way.
+// A save has no expiry of its own, and nothing in the request binds it to the boot epoch in which
+// it was decided. An instance that knows neither of the part nor of a restart can therefore
+// rewrite the part after its store restarted empty; no other instance may fetch it meanwhile.
 //
-// Let an instance decide at d to save a part, by an answer that is whole as of w, and let the
-// store start again at r before the save takes place. Let another instance decide at f to fetch
-// the part, by an answer of the epoch that ended at r, in which the part was complete by c.
+// Suppose that one instance decides at d to save a part, based on a response that is complete as
+// of w, and that the store restarts at r before the save is executed. Another instance decides at
+// f to fetch the part, based on a response from the epoch that ended at r, in which the part was
+// complete by c.
 //
-//   - The part was not complete at w, or the first instance had known of it: c > w >= d - SaveAge.
-//   - The second instance fetches only a part that has been complete for FetchDelay: f >= c + FetchDelay
-//     > d + SaveTime, and by then the save is over, or known to be late and the part not fetched.
-//   - An instance that knows of the new epoch saves only SaveDelay after it heard of it, and a part
-//     that was freed only SaveDelay after that was heard: by then f + FetchTime has passed for
-//     each f <= r + FetchAge.
+//   - The part was not complete at w, or the first instance would have known of it:
+//     c > w >= d - SaveAge.
+//   - The second instance fetches only parts that have been complete for FetchDelay:
+//     f >= c + FetchDelay > d + SaveTime. By then the save has ended, or is known to be late, in
+//     which case the part is not fetched.
+//   - An instance that knows of the new epoch saves only once it has known of it for SaveDelay,
+//     and saves a freed part only once it has known of the removal for SaveDelay. By then
+//     f + FetchTime has passed for every f <= r + FetchAge.
 //
-// A part need not wait for FetchDelay if all instances have said that they know the event that told
-// of it, each with the saves that it had asked for before and that were not over.
+// FetchDelay does not apply to a part if every instance has reported that it knows the event that
+// announced the part, together with the saves it had requested before that are still pending.
 //
-// So at no moment may a part be fetched by one instance and be written anew by another's save.
+// Hence no part is fetched by one instance while a save of another instance rewrites it.
 type Bounds struct {
-	SaveAge   time.Duration // the oldest answer by which a save is decided
-	SaveTime  time.Duration // from the decision until a save is over, or known by all to be late
-	FetchAge  time.Duration // the oldest answer by which a fetch is decided
-	FetchTime time.Duration // from the decision until a fetch is over
+	SaveAge   time.Duration // maximum age of the response on which a save decision is based
+	SaveTime  time.Duration // from the decision until the save has ended or all instances know that it is late
+	FetchAge  time.Duration // maximum age of the response on which a fetch decision is based
+	FetchTime time.Duration // from the decision until the fetch has ended
 }
 
-// FetchDelay is how long a part must have been complete to be fetched: whoever may still have decided
-// to save it since has heard of it, and what he decided before is over.
+// FetchDelay is how long a part must have been complete before it is fetched. After that time,
+// every instance that could still have decided to save the part knows of it, and saves decided
+// earlier have ended.
 func (b Bounds) FetchDelay() time.Duration { return b.SaveAge + b.SaveTime }
 
-// SaveDelay is how long a store's epoch, or that a part is no longer held, must have been known
-// before the part is saved there: whoever may still have decided to fetch it by what he knew
-// before is done.
+// SaveDelay is how long an instance must have known a store's epoch, or the removal of a part,
+// before it saves the part there. After that time, fetches decided on older information have
+// ended.
 func (b Bounds) SaveDelay() time.Duration { return b.FetchAge + b.FetchTime }
 
-// Fetchable returns how many tokens of a part may be fetched, by an answer not older than maxAge,
-// which is FetchAge at most. known says whether all instances know an event of the store.
-func (s *Inventory) Fetchable(k Key, now time.Time, maxAge time.Duration, b Bounds, known func(epoch, event uint64) bool) int {
+// Fetchable returns how many tokens of a part may be fetched, based on a response not older than
+// maxAge, capped at b.FetchAge. knownByAll reports whether all instances know an event of the store.
+func (s *Inventory) Fetchable(k Key, now time.Time, maxAge time.Duration, b Bounds, knownByAll func(epoch, event uint64) bool) int {
 	part := s.held[k]
-	if now.Sub(part.at) < b.FetchDelay() && (part.event == 0 || !known(s.epoch, part.event)) {
+	if now.Sub(part.completedAt) < b.FetchDelay() && (part.eventSeq == 0 || !knownByAll(s.epoch, part.eventSeq)) {
 		return 0
 	}
 	return s.Tokens(k, now, min(maxAge, b.FetchAge))
 }
 
-// AcceptsSaves says whether anything may be saved in the store.
+// AcceptsSaves reports whether parts may be saved in the store at all.
 func (s *Inventory) AcceptsSaves(now time.Time, b Bounds) bool {
-	return s.known && now.Sub(s.whole) <= b.SaveAge && now.Sub(s.since) >= b.SaveDelay()
+	return s.listed && now.Sub(s.completeAsOf) <= b.SaveAge && now.Sub(s.epochSince) >= b.SaveDelay()
 }
 
-// Savable says whether a part may be saved in a store that takes saves.
+// Savable reports whether a part may be saved in the store: it is neither held nor recently removed.
 func (s *Inventory) Savable(k Key, now time.Time, b Bounds) bool {
 	_, held := s.held[k]
-	at, gone := s.gone[k]
-	return !held && !(gone && now.Sub(at) < b.SaveDelay()) && s.AcceptsSaves(now, b)
+	removedAt, wasRemoved := s.removed[k]
+	return !held && !(wasRemoved && now.Sub(removedAt) < b.SaveDelay()) && s.AcceptsSaves(now, b)
 }
--- a/internal/core/cachestore/inventory.go
+++ b/internal/core/cachestore/inventory.go
@@ -1,12 +1,13 @@
-// Package stock is an instance's knowledge of what the cache stores hold, and
-// the choice of where a prompt's parts are fetched from and kept. It is pure.
+// Package cachestore tracks, per instance, what the cache stores hold, and chooses
+// the stores from which a prompt's parts are fetched and in which they are saved.
+// It performs no I/O and reads no clock.
 //
 // Invariants:
 //
-//   - A part is listed as held only after its store, in its present boot epoch, said
+//   - A part is listed as held only after its store, in its current boot epoch, reported
 //     that the part is complete. Nothing else may be fetched.
-//   - At no moment may one instance still fetch a part from a store while a save of the
-//     part that another instance asked for may yet write it there anew: see Bounds.
+//   - No instance fetches a part from a store while a save of the part that another
+//     instance requested may still rewrite it there: see Bounds.
 package cachestore
 
 import (
@@ -18,19 +19,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Key names one part under one salt.
+// Key identifies one part under one salt.
 type Key struct{ Salt, Part string }
 
-// Salt is the text under which a part may be found. Parts of different walls,
-// models or weight versions never share one.
+// Salt is the namespace in which a part is stored. Parts of different cache scopes,
+// models or weight versions never share a salt.
 type Salt struct {
-	CacheScope string // see catalog.Config.Wall
+	CacheScope string // customers that share cache entries have the same scope
 	Model      string
 	Version    uint64
 }
 
-// String encodes a salt. The wall is hashed, so that a salt stays short and
-// tells no customer's name.
+// String encodes a salt. The cache scope is hashed, so that a salt stays short and
+// does not reveal a customer's name.
 func (s Salt) String() string {
 	return strconv.FormatUint(xxhash.Sum64String(s.CacheScope), 16) + "." + strconv.FormatUint(s.Version, 10) + "." + s.Model
 }
@@ -43,259 +44,261 @@
 	return model, version, ok1 && ok2 && err == nil
 }
 
-// StoredPart is one part as a store lists it.
+// StoredPart is one part in a store's listing.
 type StoredPart struct {
 	Key
-	Tokens      int       // complete
-	Reserved    int       // space taken, of a part that is not complete
-	CompletedAt time.Time // by when it was complete; zero: when this is heard
+	Tokens      int       // complete tokens
+	Reserved    int       // space reserved by an incomplete part, in tokens
+	CompletedAt time.Time // time by which it was complete; zero: when the listing is received
 }
 
-// Event is one change that a store tells.
+// Event is one change reported by a store.
 type Event struct {
 	Key
 	Added       bool
-	Tokens      int       // held now
-	CompletedAt time.Time // by when an added part was complete; zero: when this is heard
+	Tokens      int       // tokens held after the change
+	CompletedAt time.Time // time by which an added part was complete; zero: when the event is received
 }
 
-// blockTokens is the granule in which stores hand out space.
+// blockTokens is the allocation unit of the stores, in tokens.
 const blockTokens = 16
 
-func space(tokens int) int { return (tokens + blockTokens - 1) / blockTokens * blockTokens }
+func roundUpToBlocks(tokens int) int { return (tokens + blockTokens - 1) / blockTokens * blockTokens }
 
-// Response is the epoch of what a store told, and the times between which it was true. A store's
-// answer holds as of some moment between the question and its arrival: an age counts from the
-// question, a delay from the arrival.
+// Response describes the epoch and the timing of a response from a store. Its contents were valid
+// at some moment between the request and the arrival of the response. Ages are therefore measured
+// from the request and delays from the arrival.
 type Response struct {
-	Epoch        uint64    // of the store: changes when it starts again, empty
-	NextEvent    uint64    // the event to go on from
-	AsOf         time.Time // when the store was asked
-	CompleteAsOf time.Time // the last such moment for which no event is missing
-	Received     time.Time // when this instance heard it
+	Epoch        uint64    // boot epoch of the store; changes when it restarts, empty
+	NextEvent    uint64    // event from which to continue
+	AsOf         time.Time // when the request was sent to the store
+	CompleteAsOf time.Time // latest such time up to which no event is missing
+	Received     time.Time // when this instance received it
 }
 
-// Inventory is what is known of one store. The zero value knows nothing.
+// Inventory is the known state of one store. The zero value knows nothing.
 type Inventory struct {
-	epoch uint64
-	next  uint64
-	known bool
-	held  map[Key]heldPart
-	// former is what was held when all was forgotten, in this epoch.
-	former map[Key]heldPart
-	gone   map[Key]time.Time // parts held before in this epoch: when it was heard that they no longer are
-	used   int               // space of held
-	asOf   time.Time         // see Answer
-	whole  time.Time         // see Answer
-	since  time.Time         // when this epoch was first heard of
-	// gap says that events were lost since the last list.
+	epoch     uint64
+	nextEvent uint64
+	listed    bool
+	held      map[Key]partState
+	// heldBefore is what was held, in this epoch, when the inventory was invalidated.
+	heldBefore   map[Key]partState
+	removed      map[Key]time.Time // parts held earlier in this epoch: when their removal was received
+	usedTokens   int               // space taken by the held parts
+	asOf         time.Time         // see Response
+	completeAsOf time.Time         // see Response
+	epochSince   time.Time         // when this epoch was first reported
+	// gap reports that events were lost since the last full listing.
 	gap bool
 
-	broken   map[Key]brokenPart // incomplete parts of the last list
-	brokenAt time.Time          // of that list
+	incomplete     map[Key]incompletePart // incomplete parts in the last listing
+	incompleteAsOf time.Time              // when that listing was received
 }
 
-// heldPart is a part that is complete.
-type heldPart struct {
-	tokens int
-	at     time.Time // by when it was complete
-	event  uint64    // the store's own event that told of it, or a later one; 0: none did
+// partState is a complete part.
+type partState struct {
+	tokens      int
+	completedAt time.Time // time by which it was complete
+	eventSeq    uint64    // sequence number of the store event that reported it, or of a later one; 0 if none did
 }
 
-// brokenPart is a part that takes space and is not complete.
-type brokenPart struct {
-	tokens int
-	since  time.Time // first seen with these tokens
+// incompletePart is a part that takes space but is not complete.
+type incompletePart struct {
+	tokens         int
+	unchangedSince time.Time // when it was first seen with this number of tokens
 }
 
-// SetIncomplete takes the incomplete parts of a list, heard at now.
+// SetIncomplete replaces the set of incomplete parts by those of a listing received at now.
 func (s *Inventory) SetIncomplete(partial []StoredPart, now time.Time) {
-	next := make(map[Key]brokenPart, len(partial))
-	for _, p := range partial {
-		b, seen := s.broken[p.Key]
-		if !seen || b.tokens != p.Tokens {
-			b = brokenPart{tokens: p.Tokens, since: now}
+	next := make(map[Key]incompletePart, len(partial))
+	for _, listed := range partial {
+		part, seen := s.incomplete[listed.Key]
+		if !seen || part.tokens != listed.Tokens {
+			part = incompletePart{tokens: listed.Tokens, unchangedSince: now}
 		}
-		next[p.Key] = b
+		next[listed.Key] = part
 	}
-	s.broken, s.brokenAt = next, now
+	s.incomplete, s.incompleteAsOf = next, now
 }
 
-// Stalled returns the parts that two lists at least d apart, and no event since,
-// show incomplete and of the same size.
-func (s *Inventory) Stalled(d time.Duration) []Key {
+// Stalled returns the parts that are incomplete and of the same size in two listings at
+// least minAge apart, with no event for them since.
+func (s *Inventory) Stalled(minAge time.Duration) []Key {
 	var out []Key
-	for k, b := range s.broken {
-		if s.brokenAt.Sub(b.since) >= d {
+	for k, part := range s.incomplete {
+		if s.incompleteAsOf.Sub(part.unchangedSince) >= minAge {
 			out = append(out, k)
 		}
 	}
 	return out
 }
 
-// Position returns the epoch and the event to go on from; known is false if the
+// Position returns the epoch and the event from which to continue; known is false if the
 // store must be listed first.
-func (s *Inventory) Position() (epoch, next uint64, known bool) { return s.epoch, s.next, s.known }
-
-// Replace takes a whole list. It returns what it changes; anew says that this is no mere
-// change: the store was not known, or started again.
-func (s *Inventory) Replace(a Response, held []StoredPart) (changes []Event, anew bool) {
-	anew = !s.known || s.epoch != a.Epoch
-	if s.epoch != a.Epoch || s.since.IsZero() {
-		s.since, s.gone, s.former = a.Received, nil, nil
+func (s *Inventory) Position() (epoch, next uint64, known bool) {
+	return s.epoch, s.nextEvent, s.listed
+}
+
+// Replace replaces the contents by a full listing. It returns the resulting changes. reset
+// reports that there is no base for changes: the store was not known or has restarted.
+func (s *Inventory) Replace(resp Response, held []StoredPart) (changes []Event, reset bool) {
+	reset = !s.listed || s.epoch != resp.Epoch
+	if s.epoch != resp.Epoch || s.epochSince.IsZero() {
+		s.epochSince, s.removed, s.heldBefore = resp.Received, nil, nil
 	}
-	before := s.held
-	s.epoch, s.next, s.known = a.Epoch, a.NextEvent, true
-	s.asOf, s.whole, s.gap = a.AsOf, a.CompleteAsOf, false
-	s.held, s.used = make(map[Key]heldPart, len(held)), 0
+	previous := s.held
+	s.epoch, s.nextEvent, s.listed = resp.Epoch, resp.NextEvent, true
+	s.asOf, s.completeAsOf, s.gap = resp.AsOf, resp.CompleteAsOf, false
+	s.held, s.usedTokens = make(map[Key]partState, len(held)), 0
 	for _, h := range held {
-		at, event := h.CompletedAt, uint64(0)
-		if old, had := before[h.Key]; had && old.at.Before(at) {
-			at, event = old.at, old.event // it is taken for the same
+		completedAt, eventSeq := h.CompletedAt, uint64(0)
+		if old, existed := previous[h.Key]; existed && old.completedAt.Before(completedAt) {
+			completedAt, eventSeq = old.completedAt, old.eventSeq // assumes that it is the same copy
 		}
-		s.add(Event{Key: h.Key, Tokens: h.Tokens, CompletedAt: at}, event, a.Received)
+		s.add(Event{Key: h.Key, Tokens: h.Tokens, CompletedAt: completedAt}, eventSeq, resp.Received)
 	}
-	s.forgetGone(a.Received)
-	for k := range s.former {
+	s.pruneRemoved(resp.Received)
+	for k := range s.heldBefore {
 		if _, still := s.held[k]; !still {
-			s.goes(k, a.Received)
+			s.markRemoved(k, resp.Received)
 		}
 	}
-	s.former = nil
-	for k := range before {
+	s.heldBefore = nil
+	for k := range previous {
 		if _, still := s.held[k]; !still {
-			s.goes(k, a.Received)
+			s.markRemoved(k, resp.Received)
 			changes = append(changes, Event{Key: k})
 		}
 	}
-	if anew {
+	if reset {
 		return nil, true
 	}
 	for k, part := range s.held {
-		if old, had := before[k]; !had || old.tokens != part.tokens {
+		if old, existed := previous[k]; !existed || old.tokens != part.tokens {
 			changes = append(changes, Event{Key: k, Added: true, Tokens: part.tokens})
 		}
 	}
 	return changes, false
 }
 
-// Apply takes a page of events. It returns false if the store must be listed anew: it
-// started again, or events were lost.
-func (s *Inventory) Apply(a Response, gap bool, events []Event) bool {
-	if !s.known || a.Epoch != s.epoch {
+// Apply applies a page of events. It returns false if the store must be relisted because
+// it restarted or events were lost.
+func (s *Inventory) Apply(resp Response, gap bool, events []Event) bool {
+	if !s.listed || resp.Epoch != s.epoch {
 		s.Invalidate()
 		return false
 	}
 	for _, e := range events {
-		_, had := s.held[e.Key]
-		delete(s.broken, e.Key)
+		_, wasHeld := s.held[e.Key]
+		delete(s.incomplete, e.Key)
 		switch {
 		case e.Added:
-			event := a.NextEvent
+			eventSeq := resp.NextEvent
 			if !e.CompletedAt.IsZero() {
-				event = 0 // another instance's word, whose numbers are its own
+				eventSeq = 0 // reported by another instance, whose sequence numbers are its own
 			}
-			s.add(e, event, a.Received)
-		case had:
-			s.drop(e.Key)
-			s.goes(e.Key, a.Received)
+			s.add(e, eventSeq, resp.Received)
+		case wasHeld:
+			s.remove(e.Key)
+			s.markRemoved(e.Key, resp.Received)
 		}
 	}
-	s.next = a.NextEvent
-	s.asOf = later(s.asOf, a.AsOf) // another instance's answer may be older than the last one's
+	s.nextEvent = resp.NextEvent
+	s.asOf = latest(s.asOf, resp.AsOf) // a response from another instance may be older than the last one
 	s.gap = s.gap || gap
 	if !s.gap {
-		s.whole = later(s.whole, a.CompleteAsOf)
+		s.completeAsOf = latest(s.completeAsOf, resp.CompleteAsOf)
 	}
 	return !gap
 }
 
-// add takes a part as complete, heard at a time.
-func (s *Inventory) add(e Event, event uint64, heard time.Time) {
-	at := e.CompletedAt
-	if at.IsZero() {
-		at = heard
+// add records a part as complete; received is when that was reported.
+func (s *Inventory) add(e Event, eventSeq uint64, received time.Time) {
+	completedAt := e.CompletedAt
+	if completedAt.IsZero() {
+		completedAt = received
 	}
-	s.drop(e.Key)
-	s.held[e.Key] = heldPart{tokens: e.Tokens, at: at, event: event}
-	s.used += space(e.Tokens)
+	s.remove(e.Key)
+	s.held[e.Key] = partState{tokens: e.Tokens, completedAt: completedAt, eventSeq: eventSeq}
+	s.usedTokens += roundUpToBlocks(e.Tokens)
 }
 
-// drop takes a part off, if it is held.
-func (s *Inventory) drop(k Key) {
-	s.used -= space(s.held[k].tokens)
+// remove deletes a part if it is held.
+func (s *Inventory) remove(k Key) {
+	s.usedTokens -= roundUpToBlocks(s.held[k].tokens)
 	delete(s.held, k)
 }
 
-// goes notes that a part is no longer held.
-func (s *Inventory) goes(k Key, now time.Time) {
-	if s.gone == nil {
-		s.gone = map[Key]time.Time{}
+// markRemoved records when a part was reported as no longer held.
+func (s *Inventory) markRemoved(k Key, now time.Time) {
+	if s.removed == nil {
+		s.removed = map[Key]time.Time{}
 	}
-	s.gone[k] = now
+	s.removed[k] = now
 }
 
-// goneMemory is how long parts that are no longer held are remembered: more than
-// Bounds.SaveDelay of any use.
-const goneMemory = 30 * time.Second
+// removedRetention is how long removed parts are remembered. It must exceed every
+// Bounds.SaveDelay in use.
+const removedRetention = 30 * time.Second
 
-func (s *Inventory) forgetGone(now time.Time) {
-	for k, at := range s.gone {
-		if now.Sub(at) > goneMemory {
-			delete(s.gone, k)
+func (s *Inventory) pruneRemoved(now time.Time) {
+	for k, at := range s.removed {
+		if now.Sub(at) > removedRetention {
+			delete(s.removed, k)
 		}
 	}
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
 	}
 	return a
 }
 
-// All returns all that the store holds.
+// All returns all parts that the store holds.
 func (s *Inventory) All() []StoredPart {
 	out := make([]StoredPart, 0, len(s.held))
 	for k, part := range s.held {
-		out = append(out, StoredPart{Key: k, Tokens: part.tokens, CompletedAt: part.at})
+		out = append(out, StoredPart{Key: k, Tokens: part.tokens, CompletedAt: part.completedAt})
 	}
 	return out
 }
 
-// CompletedAt is by when a held part was complete; zero: it is not held.
-func (s *Inventory) CompletedAt(k Key) time.Time { return s.held[k].at }
+// CompletedAt returns the time by which a held part was complete, or zero if it is not held.
+func (s *Inventory) CompletedAt(k Key) time.Time { return s.held[k].completedAt }
 
-// Remove takes parts as no longer held, ahead of the store's own word, heard at now.
+// Remove records parts as no longer held before the store itself reports it.
 func (s *Inventory) Remove(parts []Key, now time.Time) {
 	for _, k := range parts {
-		s.drop(k)
-		s.goes(k, now)
-		delete(s.broken, k)
+		s.remove(k)
+		s.markRemoved(k, now)
+		delete(s.incomplete, k)
 	}
 }
 
-// Invalidate drops all knowledge of the contents: the store does not answer, or
-// started again. Its epoch stays in mind, to tell a restart from a silence.
+// Invalidate discards the known contents because the store does not respond or has
+// restarted. The epoch is kept, to distinguish a restart from a loss of contact.
 func (s *Inventory) Invalidate() {
-	former := s.former
-	if s.known {
-		former = s.held
+	heldBefore := s.heldBefore
+	if s.listed {
+		heldBefore = s.held
 	}
-	*s = Inventory{epoch: s.epoch, since: s.since, gone: s.gone, former: former}
+	*s = Inventory{epoch: s.epoch, epochSince: s.epochSince, removed: s.removed, heldBefore: heldBefore}
 }
 
-// AsOf is as of when the store's newest word holds.
+// AsOf returns the time as of which the newest response is valid.
 func (s *Inventory) AsOf() time.Time { return s.asOf }
 
-// CompleteAsOf is as of when held lacks no part that was complete.
-func (s *Inventory) CompleteAsOf() time.Time { return s.whole }
+// CompleteAsOf returns the time as of which no complete part is missing.
+func (s *Inventory) CompleteAsOf() time.Time { return s.completeAsOf }
 
-// HasGap says that events were lost since the last list.
+// HasGap reports whether events were lost since the last full listing.
 func (s *Inventory) HasGap() bool { return s.gap }
 
-// Tokens returns how many tokens of a part the store holds complete, as of an
-// answer not older than maxAge.
+// Tokens returns how many tokens of a complete part the store holds, or 0 if the newest
+// response is older than maxAge.
 func (s *Inventory) Tokens(k Key, now time.Time, maxAge time.Duration) int {
 	if !s.Known(now, maxAge) {
 		return 0
@@ -303,22 +306,22 @@
 	return s.held[k].tokens
 }
 
-// Used is the space taken by complete parts, in tokens.
-func (s *Inventory) Used() int { return s.used }
+// Used returns the space taken by complete parts, in tokens.
+func (s *Inventory) Used() int { return s.usedTokens }
 
-// Known says whether the store was listed and has not been lost since, as of an answer not
-// older than maxAge.
+// Known reports whether the contents are known from a response not older than maxAge: the
+// store was listed and has not been invalidated since.
 func (s *Inventory) Known(now time.Time, maxAge time.Duration) bool {
-	return s.known && now.Sub(s.asOf) <= maxAge
+	return s.listed && now.Sub(s.asOf) <= maxAge
 }
 
-// Outdated returns the parts whose weights are of an older version than those in
-// oldest, which has each model's oldest version still in use; at most limit.
-func (s *Inventory) Outdated(oldest map[string]uint64, limit int) []Key {
+// Outdated returns at most limit parts whose weight version is older than minVersions,
+// the oldest version of each model that is still in use.
+func (s *Inventory) Outdated(minVersions map[string]uint64, limit int) []Key {
 	var out []Key
 	for k := range s.held {
 		model, version, ok := ParseSalt(k.Salt)
-		if keep, known := oldest[model]; !ok || !known || version >= keep {
+		if minVersion, inUse := minVersions[model]; !ok || !inUse || version >= minVersion {
 			continue
 		}
 		if out = append(out, k); len(out) == limit {
@@ -328,82 +331,82 @@
 	return out
 }
 
-// Candidate is one store that a part may be kept in.
+// Candidate is a store in which a part may be saved.
 type Candidate struct {
 	Address        string
 	Capacity       int // tokens
 	Used           int // tokens
 	FirstByteDelay time.Duration
-	SameZone       bool // in the zone of the target that saves the part
+	SameZone       bool // same zone as the target that saves the part
 }
 
 const (
-	// smallPart is the largest part, in tokens, for which a store's fixed delay
-	// outweighs the transfer: it belongs in the stores with the least of it.
-	smallPart = 1500
-	// fastForLarge is the share of those stores' space that larger parts may take.
-	fastForLarge = 0.35
-	// keptForHeads is the share of a store's space that is left to parts with which many
-	// prompts begin.
-	keptForHeads = 0.04
+	// maxSmallPart is the size, in tokens, up to which a store's fixed delay exceeds
+	// the transfer time of a part; such parts go to the stores with the lowest delay.
+	maxSmallPart = 1500
+	// largePartFastShare is the factor on the weight of those stores for larger parts.
+	largePartFastShare = 0.35
+	// headReserve is the share of a store's space reserved for heads, the parts with
+	// which many prompts begin.
+	headReserve = 0.04
 )
 
-// Home returns the store that a part belongs in: by rendezvous hashing weighted
-// by capacity (Thaler and Ravishankar, 1998; weights after Schindelhauer and
-// Schomaker, 2005), among those with room. Small parts go to the fastest stores
-// as long as these have room, and so do heads, the parts with which prompts begin:
-// they are few and asked for by all targets at once. Other parts go to near stores as long
-// as these have room: the prompts that ask for them again go to targets of the same zone.
-// -1: none has room.
-func Home(k Key, tokens int, head bool, places []Candidate) int {
-	fastest := time.Duration(math.MaxInt64)
-	for _, p := range places {
-		fastest = min(fastest, p.FirstByteDelay)
+// Home returns the index of the store in which a part belongs, or -1 if none has room.
+// It uses rendezvous hashing weighted by capacity (Thaler and Ravishankar, 1998; weights
+// after Schindelhauer and Schomaker, 2005) among the stores with room. Small parts go to
+// the fastest stores while these have room, and so do heads, the parts with which prompts
+// begin: there are few of them, and all targets request them at the same time. Other parts
+// go to stores in the same zone while these have room, because later prompts that share
+// them are sent to targets of that zone.
+func Home(k Key, tokens int, head bool, candidates []Candidate) int {
+	minDelay := time.Duration(math.MaxInt64)
+	for _, c := range candidates {
+		minDelay = min(minDelay, c.FirstByteDelay)
 	}
-	kept := keptForHeads
+	reserved := headReserve
 	if head {
-		kept = 0
+		reserved = 0
 	}
-	if head || tokens <= smallPart {
-		if i := pick(k, tokens, kept, places, func(p Candidate) float64 { return only(p.FirstByteDelay == fastest) }); i >= 0 {
+	if head || tokens <= maxSmallPart {
+		if i := pickWeighted(k, tokens, reserved, candidates, func(c Candidate) float64 { return indicator(c.FirstByteDelay == minDelay) }); i >= 0 {
 			return i
 		}
 	}
-	share := func(p Candidate) float64 {
-		if p.FirstByteDelay == fastest && tokens > smallPart {
-			return fastForLarge
+	weightFactor := func(c Candidate) float64 {
+		if c.FirstByteDelay == minDelay && tokens > maxSmallPart {
+			return largePartFastShare
 		}
 		return 1
 	}
 	if !head {
-		if i := pick(k, tokens, kept, places, func(p Candidate) float64 { return only(p.SameZone) * share(p) }); i >= 0 {
+		if i := pickWeighted(k, tokens, reserved, candidates, func(c Candidate) float64 { return indicator(c.SameZone) * weightFactor(c) }); i >= 0 {
 			return i
 		}
 	}
-	return pick(k, tokens, kept, places, share)
+	return pickWeighted(k, tokens, reserved, candidates, weightFactor)
 }
 
-func only(yes bool) float64 {
-	if yes {
+func indicator(condition bool) float64 {
+	if condition {
 		return 1
 	}
 	return 0
 }
 
-// pick draws a place with room, by capacity times share. kept is the share of the space
-// that is not for this part.
-func pick(k Key, tokens int, kept float64, places []Candidate, share func(Candidate) float64) int {
-	best, top := -1, math.Inf(-1)
-	for i, p := range places {
-		weight := float64(p.Capacity) * share(p)
-		if weight <= 0 || float64(p.Used+space(tokens)) > (1-kept)*float64(p.Capacity) {
+// pickWeighted selects a candidate with room by weighted rendezvous hashing; the weight is
+// capacity times factor. reserved is the share of the space that this part may not use.
+func pickWeighted(k Key, tokens int, reserved float64, candidates []Candidate, factor func(Candidate) float64) int {
+	bestIndex, bestScore := -1, math.Inf(-1)
+	for i, c := range candidates {
+		weight := float64(c.Capacity) * factor(c)
+		if weight <= 0 || float64(c.Used+roundUpToBlocks(tokens)) > (1-reserved)*float64(c.Capacity) {
 			continue
 		}
-		h := xxhash.Sum64String(k.Salt + "/" + k.Part + "/" + p.Address)
-		unit := (float64(h>>11) + 0.5) / (1 << 53) // in (0, 1)
-		if score := -weight / math.Log(unit); score > top {
-			best, top = i, score
+		h := xxhash.Sum64String(k.Salt + "/" + k.Part + "/" + c.Address)
+		uniform := (float64(h>>11) + 0.5) / (1 << 53) // in (0, 1)
+		if score := -weight / math.Log(uniform); score > bestScore {
+			bestIndex, bestScore = i, score
 		}
 	}
-	return best
+	return bestIndex
 }
--- a/internal/core/cachestore/journal.go
+++ b/internal/core/cachestore/journal.go
@@ -1,56 +1,57 @@
 package cachestore
 
-// journalSize is how many changes a journal remembers at least, and half of what it
-// remembers at most: some seconds of saves of a large fleet. Whoever is further
-// behind takes whole stores instead.
-const journalSize = 4096
+// minJournalSize is the number of most recent changes that a journal always retains; it
+// retains at most twice as many. This covers several seconds of saves in a large fleet.
+// An instance that is further behind requests the full contents of the stores instead.
+const minJournalSize = 4096
 
-// Journal numbers the changes of what the stores hold in the order in which this
-// instance learned them, so that another instance can go on from where it was.
-// The zero value is empty.
+// Journal numbers the changes to the stores' contents in the order in which this
+// instance received them, so that another instance can resume from the last change it has.
+// The zero value is an empty journal.
 type Journal struct {
-	seq     uint64 // of the last change
-	changes []journaled
-	whole   map[string]uint64 // by store: from which change on its contents are new
+	seq        uint64 // sequence number of the last change
+	changes    []journalEntry
+	relistedAt map[string]uint64 // by store: sequence number of its last full relisting
 }
 
-type journaled struct {
+// journalEntry is a change to one store; a placeholder has no store.
+type journalEntry struct {
 	store string
 	Event
 }
 
-// Seq is the number of the last change.
+// Seq returns the sequence number of the last change.
 func (j *Journal) Seq() uint64 { return j.seq }
 
-// Append notes changes of a store.
+// Append records changes to a store's contents.
 func (j *Journal) Append(store string, events []Event) {
 	for _, e := range events {
 		j.seq++
-		j.changes = append(j.changes, journaled{store: store, Event: e})
+		j.changes = append(j.changes, journalEntry{store: store, Event: e})
 	}
-	if len(j.changes) > 2*journalSize { // seldom, since it copies
-		j.changes = append([]journaled(nil), j.changes[len(j.changes)-journalSize:]...)
+	if len(j.changes) > 2*minJournalSize { // truncates in batches because it copies
+		j.changes = append([]journalEntry(nil), j.changes[len(j.changes)-minJournalSize:]...)
 	}
 }
 
-// MarkRelisted says that a store was listed anew: nothing told of it before counts.
+// MarkRelisted records that a store was relisted: its earlier changes no longer apply.
 func (j *Journal) MarkRelisted(store string) {
 	j.seq++
-	j.changes = append(j.changes, journaled{}) // keeps numbers and places in step
-	if j.whole == nil {
-		j.whole = map[string]uint64{}
+	j.changes = append(j.changes, journalEntry{}) // placeholder: keeps sequence numbers aligned with indexes
+	if j.relistedAt == nil {
+		j.relistedAt = map[string]uint64{}
 	}
-	j.whole[store] = j.seq
+	j.relistedAt[store] = j.seq
 }
 
-// Since returns a store's changes after seq, in order. whole says that they do
-// not suffice: the asker needs all that the store holds.
-func (j *Journal) Since(store string, seq uint64) (events []Event, whole bool) {
-	first := j.seq - uint64(len(j.changes)) // the change before the oldest remembered
-	if seq < first || seq > j.seq || seq < j.whole[store] {
+// Since returns a store's changes after seq, in order. relist reports that they are
+// not available or do not suffice: the caller needs the full contents of the store.
+func (j *Journal) Since(store string, seq uint64) (events []Event, relist bool) {
+	oldest := j.seq - uint64(len(j.changes)) // sequence number just before the oldest retained change
+	if seq < oldest || seq > j.seq || seq < j.relistedAt[store] {
 		return nil, true
 	}
-	for _, c := range j.changes[seq-first:] {
+	for _, c := range j.changes[seq-oldest:] {
 		if c.store == store {
 			events = append(events, c.Event)
 		}
--- a/internal/core/cachestore/saves.go
+++ b/internal/core/cachestore/saves.go
@@ -5,81 +5,80 @@
 	"time"
 )
 
-// PendingSaves are an instance's own saves that may not be over. A save has no end of its own: it is
-// over when its request is answered, and one whose request was left unanswered may take
-// place for as long as its target is silent. The zero value has none.
+// PendingSaves tracks the saves that an instance requested and that may still be in progress. A save
+// has no expiry of its own: it ends when its request is answered, and one whose request was abandoned
+// may be executed for as long as its target is unresponsive. The zero value is empty.
 type PendingSaves struct{ pending []*Save }
 
-// Save is what one request asks a target to save.
+// Save is the set of parts that one request asks a target to save.
 type Save struct {
-	Target string
-	parts  []Key
-	began  time.Time
-	left   time.Time // when its request was given up without an answer; zero: it was not
-	over   time.Time // zero: not known yet
+	Target      string
+	parts       []Key
+	startedAt   time.Time
+	abandonedAt time.Time // when the request was abandoned without a response; zero if it was not
+	endsAt      time.Time // when the save can no longer write; zero if not known yet
 }
 
-// Times of saves.
 const (
-	// writeTime is how long a target may go on writing once it has answered.
-	writeTime = 200 * time.Millisecond
-	// lostTime is the longest for which a request that was given up may be under way.
-	lostTime = 10 * time.Second
-	// doubtTime is how long nothing is known of the target of a request that was given up:
-	// others ask it meanwhile, and tell if it answers none of them.
-	doubtTime = 1500 * time.Millisecond
+	// trailingWriteTime is how long a target may continue to write after its response.
+	trailingWriteTime = 200 * time.Millisecond
+	// maxAbandonedTime is how long an abandoned request may remain in flight at most.
+	maxAbandonedTime = 10 * time.Second
+	// silenceDetectionTime is how long the state of an abandoned request's target is unknown:
+	// within it, other instances send requests to the target and report if it answers none of them.
+	silenceDetectionTime = 1500 * time.Millisecond
 )
 
-// TargetActivity are what is known of a target.
+// TargetActivity is what is known about the responsiveness of a target.
 type TargetActivity struct {
-	LastResponse    time.Time     // when it last answered this instance anything; zero: never
-	UnresponsiveFor time.Duration // for how long it has answered nothing that it was asked, by anybody
+	LastResponse    time.Time     // when this instance last received any response from it; zero if never
+	UnresponsiveFor time.Duration // how long it has answered no request of any instance
 }
 
-// Begin notes a request that asks a target to save parts.
+// Begin records a request that asks a target to save parts.
 func (s *PendingSaves) Begin(target string, parts []Key, now time.Time) *Save {
-	x := &Save{Target: target, parts: parts, began: now}
-	s.pending = append(s.pending, x)
-	return x
+	save := &Save{Target: target, parts: parts, startedAt: now}
+	s.pending = append(s.pending, save)
+	return save
 }
 
-// Answered notes that a save's request was answered.
-func (x *Save) Answered(now time.Time) { x.over = now.Add(writeTime) }
+// Answered records that the save's request was answered.
+func (s *Save) Answered(now time.Time) { s.endsAt = now.Add(trailingWriteTime) }
 
-// NotSent notes that a save's request never left.
-func (x *Save) NotSent(now time.Time) { x.over = now }
+// NotSent records that the save's request was never sent.
+func (s *Save) NotSent(now time.Time) { s.endsAt = now }
 
-// Abandoned notes that a save's request was given up without an answer.
-func (x *Save) Abandoned(now time.Time) { x.left, x.over = now, now.Add(lostTime) }
+// Abandoned records that the save's request was abandoned without a response.
+func (s *Save) Abandoned(now time.Time) { s.abandonedAt, s.endsAt = now, now.Add(maxAbandonedTime) }
 
-// PendingParts returns the parts of the saves that have been under way for some time or longer, by
-// the signs of their targets.
-func (s *PendingSaves) PendingParts(now time.Time, after time.Duration, signs func(target string) TargetActivity) []Key {
-	s.pending = slices.DeleteFunc(s.pending, func(x *Save) bool {
-		if !x.left.IsZero() {
-			x.settle(now, signs(x.Target))
+// PendingParts returns the parts of the saves that have been pending for at least minAge. It first
+// drops the saves that have ended, judging abandoned ones by the activity of their targets.
+func (s *PendingSaves) PendingParts(now time.Time, minAge time.Duration, activityOf func(target string) TargetActivity) []Key {
+	s.pending = slices.DeleteFunc(s.pending, func(save *Save) bool {
+		if !save.abandonedAt.IsZero() {
+			save.updateEnd(now, activityOf(save.Target))
 		}
-		return !x.over.IsZero() && !now.Before(x.over)
+		return !save.endsAt.IsZero() && !now.Before(save.endsAt)
 	})
-	var out []Key
-	for _, x := range s.pending {
-		if now.Sub(x.began) >= after {
-			out = append(out, x.parts...)
+	var parts []Key
+	for _, save := range s.pending {
+		if now.Sub(save.startedAt) >= minAge {
+			parts = append(parts, save.parts...)
 		}
 	}
-	return out
+	return parts
 }
 
-// settle says when a save that was left is over, by what is known of its target now.
-func (x *Save) settle(now time.Time, is TargetActivity) {
-	over := x.over
+// updateEnd moves the end of an abandoned save forward if its target has since proved responsive.
+func (s *Save) updateEnd(now time.Time, activity TargetActivity) {
+	endsAt := s.endsAt
 	switch {
-	case is.LastResponse.After(x.left):
-		over = is.LastResponse.Add(writeTime)
-	case now.Sub(x.left) >= doubtTime && is.UnresponsiveFor < doubtTime:
-		over = now
+	case activity.LastResponse.After(s.abandonedAt):
+		endsAt = activity.LastResponse.Add(trailingWriteTime)
+	case now.Sub(s.abandonedAt) >= silenceDetectionTime && activity.UnresponsiveFor < silenceDetectionTime:
+		endsAt = now
 	}
-	if over.Before(x.over) {
-		x.over = over
+	if endsAt.Before(s.endsAt) {
+		s.endsAt = endsAt
 	}
 }
