--- a/internal/core/cache/hints.go
+++ b/internal/core/cache/hints.go
@@ -1,6 +1,5 @@
-// Package cache holds what an instance believes about kept cache: which
-// target holds which keys, which store keeps which chain, and the decisions
-// that follow. Beliefs are hints: they move cost, never content.
+// Package cache tracks which cache keys each target is assumed to hold.
+// The assumptions are hints: a wrong hint affects cost, never content.
 package cache
 
 import (
@@ -9,192 +8,192 @@
 	"github.com/shedhoist/shedhoist/internal/core/prefix"
 )
 
-// Hints is the belief about targets' resident keys. It is safe for many
-// goroutines: request goroutines learn and read here, each target under its
-// own lock.
+// Hints holds the keys that are assumed resident on each target. It is safe for
+// concurrent use; request goroutines read and update it, and each target's keys
+// have their own lock.
 type Hints struct {
 	mu      sync.RWMutex
-	targets map[string]*holder
+	targets map[string]*targetKeys
 	limit   int
 }
 
-// Bounds on what is remembered: keys of one target, and of all together. At 73
-// bytes a key the latter is 44 MB.
+// Bounds on the number of keys retained: for one target, and for all targets
+// together. At 73 bytes a key the latter is 44 MB.
 const (
 	DefaultHintKeys = 8192
 	MaxHintKeys     = 600_000
-	leastHintKeys   = 128 // of one target, however many there are
+	minHintKeys     = 128 // for one target, regardless of the number of targets
 )
 
-// NewHints remembers up to limit keys a target, and MaxHintKeys in all.
-func NewHints(limit int) *Hints { return &Hints{targets: map[string]*holder{}, limit: limit} }
+// NewHints returns hints that retain up to limit keys a target, and MaxHintKeys in total.
+func NewHints(limit int) *Hints { return &Hints{targets: map[string]*targetKeys{}, limit: limit} }
 
-// perTarget is the bound on one target's keys while there are so many targets.
-// It falls by halves, so that room has to be made only a few times.
-func (h *Hints) perTarget() int {
+// perTargetLimit returns the bound on one target's keys for the current number of
+// targets. It decreases by halving, so that keys are rarely trimmed.
+func (h *Hints) perTargetLimit() int {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
-	return h.bound(len(h.targets))
+	return h.limitFor(len(h.targets))
 }
 
-func (h *Hints) bound(targets int) int {
+func (h *Hints) limitFor(targets int) int {
 	limit := h.limit
-	for limit > leastHintKeys && limit*targets > MaxHintKeys {
+	for limit > minHintKeys && limit*targets > MaxHintKeys {
 		limit /= 2
 	}
 	return limit
 }
 
-// holder is one target's keys, oldest forgotten first.
-type holder struct {
-	mu   sync.RWMutex
-	at   map[prefix.Key]int // index in ring
-	ring []prefix.Key
-	next int
-	seq  uint64 // last cache event applied
+// targetKeys holds one target's keys and evicts the oldest first.
+type targetKeys struct {
+	mu      sync.RWMutex
+	index   map[prefix.Key]int // index in ring
+	ring    []prefix.Key
+	next    int
+	lastSeq uint64 // last cache event applied
 }
 
-func (h *Hints) find(target string) *holder {
+func (h *Hints) lookup(target string) *targetKeys {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	return h.targets[target]
 }
 
-func (h *Hints) holder(target string) *holder {
-	if e := h.find(target); e != nil {
-		return e
+func (h *Hints) ensure(target string) *targetKeys {
+	if entry := h.lookup(target); entry != nil {
+		return entry
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if e := h.targets[target]; e != nil {
-		return e
+	if entry := h.targets[target]; entry != nil {
+		return entry
 	}
-	e := &holder{at: map[prefix.Key]int{}}
-	h.targets[target] = e
-	if n := len(h.targets); h.bound(n) < h.bound(n-1) {
-		h.trimAll(h.bound(n))
+	entry := &targetKeys{index: map[prefix.Key]int{}}
+	h.targets[target] = entry
+	if n := len(h.targets); h.limitFor(n) < h.limitFor(n-1) {
+		h.trimAll(h.limitFor(n))
 	}
-	return e
+	return entry
 }
 
-// trimAll makes room for more targets; h.mu is held.
+// trimAll trims all targets' keys to make room for more targets; h.mu must be held.
 func (h *Hints) trimAll(limit int) {
-	for _, e := range h.targets {
-		e.mu.Lock()
-		e.trim(limit)
-		e.mu.Unlock()
+	for _, entry := range h.targets {
+		entry.mu.Lock()
+		entry.trim(limit)
+		entry.mu.Unlock()
 	}
 }
 
-// ResidentPrefix is how many leading keys the target is believed to hold.
+// ResidentPrefix returns how many leading keys the target is assumed to hold.
 func (h *Hints) ResidentPrefix(target string, keys []prefix.Key) int {
-	e := h.find(target)
-	if e == nil || len(keys) == 0 {
+	entry := h.lookup(target)
+	if entry == nil || len(keys) == 0 {
 		return 0
 	}
-	e.mu.RLock()
-	defer e.mu.RUnlock()
+	entry.mu.RLock()
+	defer entry.mu.RUnlock()
 	for i := range keys {
-		if _, ok := e.at[keys[i]]; !ok {
+		if _, ok := entry.index[keys[i]]; !ok {
 			return i
 		}
 	}
 	return len(keys)
 }
 
-// Add notes that the target now holds keys.
+// Add records that the target now holds keys.
 func (h *Hints) Add(target string, keys []prefix.Key) {
 	if len(keys) == 0 {
 		return
 	}
-	e, limit := h.holder(target), h.perTarget()
-	e.mu.Lock()
-	defer e.mu.Unlock()
+	entry, limit := h.ensure(target), h.perTargetLimit()
+	entry.mu.Lock()
+	defer entry.mu.Unlock()
 	for _, k := range keys {
-		e.add(k, limit)
+		entry.add(k, limit)
 	}
 }
 
-// trim forgets keys beyond the limit, and frees their space.
-func (e *holder) trim(limit int) {
-	if len(e.ring) <= limit {
+// trim evicts the oldest keys beyond the limit and frees their space.
+func (t *targetKeys) trim(limit int) {
+	if len(t.ring) <= limit {
 		return
 	}
-	kept := append([]prefix.Key(nil), e.ring[len(e.ring)-limit:]...)
-	e.ring, e.next, e.at = kept, 0, make(map[prefix.Key]int, limit)
-	for i, k := range kept {
-		e.at[k] = i
+	newest := append([]prefix.Key(nil), t.ring[len(t.ring)-limit:]...)
+	t.ring, t.next, t.index = newest, 0, make(map[prefix.Key]int, limit)
+	for i, k := range newest {
+		t.index[k] = i
 	}
 }
 
-func (e *holder) add(k prefix.Key, limit int) {
-	if _, ok := e.at[k]; ok {
+func (t *targetKeys) add(k prefix.Key, limit int) {
+	if _, ok := t.index[k]; ok {
 		return
 	}
-	if len(e.ring) < limit {
-		e.at[k] = len(e.ring)
-		e.ring = append(e.ring, k)
+	if len(t.ring) < limit {
+		t.index[k] = len(t.ring)
+		t.ring = append(t.ring, k)
 		return
 	}
-	if old := e.ring[e.next]; e.at[old] == e.next {
-		delete(e.at, old)
+	if oldest := t.ring[t.next]; t.index[oldest] == t.next {
+		delete(t.index, oldest)
 	}
-	e.ring[e.next] = k
-	e.at[k] = e.next
-	e.next = (e.next + 1) % limit
+	t.ring[t.next] = k
+	t.index[k] = t.next
+	t.next = (t.next + 1) % limit
 }
 
-// Remove notes that the target does not hold these keys (any more).
+// Remove records that the target does not hold these keys.
 func (h *Hints) Remove(target string, keys []prefix.Key) {
-	e := h.find(target)
-	if e == nil {
+	entry := h.lookup(target)
+	if entry == nil {
 		return
 	}
-	e.mu.Lock()
-	defer e.mu.Unlock()
+	entry.mu.Lock()
+	defer entry.mu.Unlock()
 	for _, k := range keys {
-		delete(e.at, k)
+		delete(entry.index, k)
 	}
 }
 
-// RemoveTarget forgets all about a target: it restarted, swapped weights, or lost events.
+// RemoveTarget removes all keys of a target, as after a restart, a change of weights or lost events.
 func (h *Hints) RemoveTarget(target string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.targets, target)
 }
 
-// ApplyEvent applies one cache event. A sequence that is not the next one marks a
-// gap: what was lost may be a removal, so all that was believed is dropped.
+// ApplyEvent applies one cache event. A sequence number that is not the next one marks
+// a gap: a lost event may be a removal, so all keys of the target are dropped first.
 func (h *Hints) ApplyEvent(target string, seq uint64, key prefix.Key, removed bool) (gap bool) {
-	e, limit := h.holder(target), h.perTarget()
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if seq <= e.seq {
-		return false // a replay changes nothing
+	entry, limit := h.ensure(target), h.perTargetLimit()
+	entry.mu.Lock()
+	defer entry.mu.Unlock()
+	if seq <= entry.lastSeq {
+		return false // replayed events are ignored
 	}
-	gap = e.seq != 0 && seq != e.seq+1
+	gap = entry.lastSeq != 0 && seq != entry.lastSeq+1
 	if gap {
-		e.at, e.ring, e.next = map[prefix.Key]int{}, nil, 0
+		entry.index, entry.ring, entry.next = map[prefix.Key]int{}, nil, 0
 	}
-	e.seq = seq
+	entry.lastSeq = seq
 	if removed {
-		delete(e.at, key)
+		delete(entry.index, key)
 		return gap
 	}
-	e.add(key, limit)
+	entry.add(key, limit)
 	return gap
 }
 
-// KeyCount is how many keys are remembered over all targets.
+// KeyCount returns the number of keys retained for all targets.
 func (h *Hints) KeyCount() int {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	n := 0
-	for _, e := range h.targets {
-		e.mu.RLock()
-		n += len(e.at)
-		e.mu.RUnlock()
+	for _, entry := range h.targets {
+		entry.mu.RLock()
+		n += len(entry.index)
+		entry.mu.RUnlock()
 	}
 	return n
 }
--- a/internal/core/cache/hints_test.go
+++ b/internal/core/cache/hints_test.go
@@ -24,7 +24,7 @@
 	return out
 }
 
-// TestEvents is a table of what late, lost, replayed and reordered events do.
+// TestEvents covers events that are in order, lost, replayed or reordered.
 func TestEvents(t *testing.T) {
 	type event struct {
 		seq     uint64
@@ -34,14 +34,14 @@
 	cases := []struct {
 		name   string
 		events []event
-		want   int // leading keys of 0, 1, 2 believed resident
+		want   int // leading keys of 0, 1, 2 assumed resident
 	}{
 		{"in order", []event{{1, 0, false}, {2, 1, false}, {3, 2, false}}, 3},
 		{"removed", []event{{1, 0, false}, {2, 1, false}, {3, 0, true}}, 0},
 		{"replayed", []event{{1, 0, false}, {2, 0, true}, {1, 0, false}}, 0},
-		{"a gap drops what was believed", []event{{1, 0, false}, {2, 1, false}, {4, 2, false}}, 0},
-		{"and what comes behind it counts", []event{{1, 5, false}, {3, 0, false}, {4, 1, false}}, 2},
-		{"nothing", nil, 0},
+		{"a gap drops all keys", []event{{1, 0, false}, {2, 1, false}, {4, 2, false}}, 0},
+		{"events after a gap are applied", []event{{1, 5, false}, {3, 0, false}, {4, 1, false}}, 2},
+		{"no events", nil, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestBounds: however many keys and targets come, memory is bounded, the newest
-// keys are kept, and a key that was forgotten counts as not resident.
+// TestBounds guards against unbounded memory with many keys and targets. The newest
+// keys are retained, and an evicted key counts as not resident.
 func TestBounds(t *testing.T) {
 	is := is.New(t)
 	h := cache.NewHints(10)
@@ -75,5 +75,5 @@
 		is.True(i%50 != 0 || h.KeyCount() <= cache.MaxHintKeys)
 	}
 	is.True(h.KeyCount() <= cache.MaxHintKeys)
-	is.Equal(h.ResidentPrefix("t0", keys(0, 4000)), 0) // its first ones made room
+	is.Equal(h.ResidentPrefix("t0", keys(0, 4000)), 0) // its oldest keys were evicted
 }
