--- a/internal/core/prefix/prefix.go
+++ b/internal/core/prefix/prefix.go
@@ -1,10 +1,10 @@
-// Package prefix derives the keys under which a prompt's cache is known.
+// Package prefix derives the cache keys of a prompt's prefixes.
 //
-// A key is a link of a keyed hash chain over fixed chunks of the prompt's
-// canonical bytes. The chain's seed holds the customer's secret, the model,
-// the weight version and the adapter, so two customers, versions or adapters
-// never share a key, and a key tells nothing about the bytes below it without
-// the secret.
+// A key is a link of a keyed hash chain over fixed-size chunks of the prompt's
+// canonical bytes. The chain's seed is derived from the customer's secret, the
+// model, the weight version and the adapter, so two customers, versions or
+// adapters never share a key, and without the secret a key reveals nothing about
+// the bytes that it covers.
 package prefix
 
 import (
@@ -15,25 +15,26 @@
 	"strings"
 )
 
-// ChunkBytes is the length of one chunk of canonical prompt, in bytes. At about
+// ChunkBytes is the length of one chunk of a canonical prompt, in bytes. At about
 // four bytes a token it is one cache piece of about a thousand tokens (brief,
 // "Sizes of today").
 const ChunkBytes = 4096
 
-// BytesPerToken is the planning ratio between prompt bytes and tokens.
+// BytesPerToken is the assumed ratio of prompt bytes to tokens.
 const BytesPerToken = 4
 
-// Key names the cache of a prompt up to and including one chunk.
+// Key identifies the cache of a prompt up to and including one chunk.
 type Key [16]byte
 
 // String returns the key in hexadecimal.
 func (k Key) String() string { return hex.EncodeToString(k[:]) }
 
-// Seed starts a chain. It is secret: it must not be logged or sent to a peer.
+// Seed is the initial value of a key chain. It is secret and must not be logged or sent to a peer.
 type Seed [sha256.Size]byte
 
-// NewSeed binds a chain to its owner and its weights. Each part is preceded by
-// its length, so no two lists of parts give the same input.
+// NewSeed derives the seed of a customer's secret, a model, a weight version and an
+// adapter. Each part is preceded by its length, so that different lists of parts
+// never produce the same input.
 func NewSeed(secret []byte, model, version, adapter string) Seed {
 	mac := hmac.New(sha256.New, secret)
 	for _, part := range [...]string{"shedhoist/prefix/1", model, version, adapter} {
@@ -47,21 +48,21 @@
 	return s
 }
 
-// Salt is the isolation salt handed to engines: it separates cache as the seed
-// does, without giving the seed away.
+// Salt returns the isolation salt that is passed to engines: it separates caches in
+// the same way as the seed without revealing it.
 func (s Seed) Salt() string {
 	mac := hmac.New(sha256.New, s[:])
 	mac.Write([]byte("salt"))
 	return hex.EncodeToString(mac.Sum(nil)[:16])
 }
 
-// Chain appends one key for each whole chunk of canonical to dst. The rest
-// behind the last whole chunk has no key: it is always computed.
+// Chain appends one key for each full chunk of canonical to dst. A partial chunk at
+// the end has no key; it is always recomputed.
 func (s Seed) Chain(canonical string, dst []Key) []Key {
 	mac := hmac.New(sha256.New, s[:])
 	var prev Key
 	var sum [sha256.Size]byte
-	chunk := make([]byte, ChunkBytes) // hashes take bytes; one buffer serves all chunks
+	chunk := make([]byte, ChunkBytes) // hash.Hash takes a byte slice; one buffer is reused for all chunks
 	for len(canonical) >= ChunkBytes {
 		mac.Reset()
 		mac.Write(prev[:])
@@ -74,7 +75,8 @@
 	return dst
 }
 
-// RootHash identifies the head of a customer's prompt without regard to weights.
+// RootHash returns a hash of the first chunk of a customer's prompt, independent of the
+// model and its weights.
 func RootHash(secret []byte, canonical string) uint64 {
 	mac := hmac.New(sha256.New, secret)
 	mac.Write([]byte(canonical[:min(len(canonical), ChunkBytes)]))
@@ -82,26 +84,26 @@
 	return binary.BigEndian.Uint64(mac.Sum(sum[:0]))
 }
 
-// EstimateTokens estimates the tokens in n bytes of prompt, rounded up.
+// EstimateTokens estimates the number of tokens in n bytes of prompt, rounded up.
 func EstimateTokens(n int) int { return (n + BytesPerToken - 1) / BytesPerToken }
 
-// Message is one turn of a chat.
+// Message is one message of a chat.
 type Message struct {
 	Role    string
 	Content string
 }
 
-// Bytes that frame a chat's canonical form.
+// Framing bytes of a chat's canonical form.
 const (
-	frameStart = 0x00 // opens a message; escaped inside content
+	frameStart = 0x00 // starts a message; escaped inside a role or content
 	frameBody  = 0x01 // ends the role
-	frameQuote = 0xFF // follows a frameStart that belongs to the content
+	frameQuote = 0xFF // follows a frameStart byte that belongs to a role or content
 )
 
-// Canonical writes a chat as bytes. Two different chats never give the same
-// bytes: a NUL in a role or content is quoted, so frames can't be forged. No
-// length stands in front, so a message or a chat that only grows at its end
-// keeps its earlier bytes as a prefix, and with them its keys.
+// Canonical encodes a chat as bytes. Different chats never have the same encoding:
+// a NUL in a role or content is escaped, so that framing can't be forged. There are
+// no length prefixes, so a chat or message that is only appended to keeps its
+// earlier encoding as a prefix, and with it its keys.
 func Canonical(msgs []Message) string {
 	size := 0
 	for _, m := range msgs {
@@ -118,6 +120,7 @@
 	return out.String()
 }
 
+// writeQuoted writes s with its frameStart bytes escaped.
 func writeQuoted(out *strings.Builder, s string) {
 	for {
 		i := strings.IndexByte(s, frameStart)
--- a/internal/core/prefix/prefix_test.go
+++ b/internal/core/prefix/prefix_test.go
@@ -11,7 +11,7 @@
 	"github.com/shedhoist/shedhoist/internal/core/prefix"
 )
 
-// owner is everything that must keep two prompts' keys apart.
+// owner is everything that a prompt's keys are isolated by.
 type owner struct {
 	secret                  []byte
 	model, version, adapter string
@@ -25,9 +25,9 @@
 
 func (o owner) seed() prefix.Seed { return prefix.NewSeed(o.secret, o.model, o.version, o.adapter) }
 
-// TestOwnersShareNoKey: two customers, models, versions or adapters never
-// share a key for the same bytes, nor a salt.
-func TestOwnersShareNoKey(t *testing.T) {
+// TestKeysIsolateOwners checks that two customers, models, versions or adapters never
+// share a key for the same bytes, or a salt.
+func TestKeysIsolateOwners(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := drawOwner(t, "a")
 		b := a
@@ -40,7 +40,7 @@
 			b.version += "x"
 		case 3:
 			b.adapter += "x"
-		case 4: // the same letters, cut elsewhere
+		case 4: // the same concatenation, split elsewhere
 			b.model, b.version = a.model+a.version, ""
 		}
 		if bytes.Equal(a.secret, b.secret) && a.model == b.model && a.version == b.version && a.adapter == b.adapter {
@@ -62,32 +62,32 @@
 	})
 }
 
-// TestChainNamesAllBefore: a key depends on every byte up to its chunk's end,
-// and on none behind it.
-func TestChainNamesAllBefore(t *testing.T) {
+// TestChainDependsOnPrefix checks that a key depends on every byte up to the end of
+// its chunk, and on none after it.
+func TestChainDependsOnPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := drawOwner(t, "a").seed()
 		n := rapid.IntRange(1, 4).Draw(t, "chunks")
 		prompt := bytes.Repeat([]byte("abcd"), n*prefix.ChunkBytes/4)
 		before := seed.Chain(string(prompt), nil)
-		at := rapid.IntRange(0, len(prompt)-1).Draw(t, "changed byte")
-		prompt[at] ^= 0xFF
+		offset := rapid.IntRange(0, len(prompt)-1).Draw(t, "changed byte")
+		prompt[offset] ^= 0xFF
 		after := seed.Chain(string(prompt), nil)
 		for i := range before {
-			if same := before[i] == after[i]; same != (i < at/prefix.ChunkBytes) {
-				t.Fatalf("byte %d changed: key %d same is %v", at, i, same)
+			if same := before[i] == after[i]; same != (i < offset/prefix.ChunkBytes) {
+				t.Fatalf("byte %d changed: key %d unchanged is %v", offset, i, same)
 			}
 		}
 	})
 }
 
 var messages = rapid.SliceOf(rapid.Custom(func(t *rapid.T) prefix.Message {
-	role := rapid.StringOf(rapid.SampledFrom([]rune{'a', 'b'})) // roles are words
+	role := rapid.StringOf(rapid.SampledFrom([]rune{'a', 'b'})) // roles contain no framing bytes
 	text := rapid.StringOf(rapid.SampledFrom([]rune{0, 1, 0xFF, 'a', 'b'}))
 	return prefix.Message{Role: role.Draw(t, "role"), Content: text.Draw(t, "content")}
 }))
 
-func sameChat(a, b []prefix.Message) bool {
+func equalChats(a, b []prefix.Message) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -99,20 +99,20 @@
 	return true
 }
 
-// TestCanonicalTellsChatsApart: different chats have different canonical
-// bytes, even when content holds the framing bytes.
-func TestCanonicalTellsChatsApart(t *testing.T) {
+// TestCanonicalInjective checks that different chats have different canonical bytes,
+// even if content contains framing bytes.
+func TestCanonicalInjective(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := messages.Draw(t, "a"), messages.Draw(t, "b")
-		if sameChat(a, b) != (prefix.Canonical(a) == prefix.Canonical(b)) {
-			t.Fatalf("%q and %q", prefix.Canonical(a), prefix.Canonical(b))
+		if equalChats(a, b) != (prefix.Canonical(a) == prefix.Canonical(b)) {
+			t.Fatalf("canonical bytes %q and %q", prefix.Canonical(a), prefix.Canonical(b))
 		}
 	})
 }
 
-// TestCanonicalGrows: a chat or a message that only grows keeps its bytes as
-// a prefix, and with them its keys.
-func TestCanonicalGrows(t *testing.T) {
+// TestCanonicalPrefix checks that a chat or a message that is only appended to keeps
+// its bytes as a prefix, and with them its keys.
+func TestCanonicalPrefix(t *testing.T) {
 	is := is.New(t)
 	chat := []prefix.Message{{Role: "system", Content: strings.Repeat("rule ", 4000)}, {Role: "user", Content: "draft"}}
 	short := prefix.Canonical(chat)
@@ -122,7 +122,7 @@
 	is.True(strings.HasPrefix(prefix.Canonical(chat), short))
 }
 
-// FuzzCanonical looks for a chat whose bytes another chat has.
+// FuzzCanonical searches for two different chats with the same canonical bytes.
 func FuzzCanonical(f *testing.F) {
 	f.Add("user", "a\x00b", "user", "a\x00\xffb")
 	f.Add("user", "", "user", "\x00user\x01")
@@ -131,8 +131,8 @@
 			t.Skip()
 		}
 		a, b := []prefix.Message{{Role: r1, Content: c1}}, []prefix.Message{{Role: r2, Content: c2}}
-		if sameChat(a, b) != (prefix.Canonical(a) == prefix.Canonical(b)) {
-			t.Fatalf("%q %q", a, b)
+		if equalChats(a, b) != (prefix.Canonical(a) == prefix.Canonical(b)) {
+			t.Fatalf("chats %q and %q", a, b)
 		}
 	})
 }
--- a/internal/core/prefix/seed_test.go
+++ b/internal/core/prefix/seed_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// The properties are checked on the same draws each run.
+// The property tests draw the same values in every run.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
