--- a/internal/core/rendezvous/rendezvous_test.go
+++ b/internal/core/rendezvous/rendezvous_test.go
@@ -16,9 +16,9 @@
 	return out
 }
 
-// TestFirstAgreesWithRank: an instance that takes itself for one of the first of a role is
-// one of those that the others take for it.
-func TestFirstAgreesWithRank(t *testing.T) {
+// TestFirstMatchesRank checks that the instances that consider themselves among the first for a
+// role, by Rank, are those that other instances select by First.
+func TestFirstMatchesRank(t *testing.T) {
 	is := is.New(t)
 	all := names(40)
 	first := First(all, "role", 5)
@@ -30,12 +30,12 @@
 	is.Equal(len(First(all[:3], "role", 5)), 3)
 }
 
-// TestOneThatGoesMovesNoOthers: the order of those that stay is the same without it.
-func TestOneThatGoesMovesNoOthers(t *testing.T) {
+// TestRemovalKeepsOrder checks that removing a name doesn't change the order of the others.
+func TestRemovalKeepsOrder(t *testing.T) {
 	is := is.New(t)
 	all := names(40)
 	order := First(all, "role", len(all))
-	rest := slices.Delete(slices.Clone(all), 17, 18)
+	remaining := slices.Delete(slices.Clone(all), 17, 18)
 	want := slices.DeleteFunc(slices.Clone(order), func(n string) bool { return n == all[17] })
-	is.Equal(First(rest, "role", len(rest)), want)
+	is.Equal(First(remaining, "role", len(remaining)), want)
 }
