--- a/internal/core/policy/policy.go
+++ b/internal/core/policy/policy.go
@@ -1,5 +1,5 @@
-// Package policy names the mechanisms by which requests are placed, so that experiments
-// can switch them off one at a time and measure what each is worth. It is pure.
+// Package policy defines the mechanisms of request placement, each of which can be
+// switched off in experiments to measure its effect.
 package policy
 
 import (
@@ -7,23 +7,23 @@
 	"strings"
 )
 
-// Policy says which mechanisms are in use.
+// Policy holds which mechanisms are in use.
 type Policy struct {
-	Admission         bool // requests are refused while targets' memory is full
-	Homes             bool // prompts go to the home of their last shared part by preference
-	ScoreJitter       bool // scores are shaken, so that instances do not all pick the same target
-	LinkWeight        bool // time on a shared link counts more than other time
-	OldWeightsPenalty bool // targets with old weights count less
-	PeerLoads         bool // what peers have waiting at targets counts
-	LearnedLatency    bool // what is learned of slow targets and links counts
-	DeprioritizeLate  bool // in large fleets, requests that are predicted late wait behind others
-	StreamConnReuse   bool // streams that may not run twice use kept connections too
-	StoreZoneHomes    bool // prompts have their homes in the zone of the store that keeps them
-	WarmupSenders     bool // a few instances send to a cold target what it bears; else none does
-	HeadsInFastStores bool // parts with which prompts begin are kept in the fastest stores
+	Admission         bool // requests are refused while the targets' memory is full
+	Homes             bool // prompts are preferably sent to the home target of their last shared part
+	ScoreJitter       bool // scores are randomized, so that instances do not all select the same target
+	LinkWeight        bool // transfer time on a shared link has a higher weight than other time
+	OldWeightsPenalty bool // targets that serve an old weight version score lower
+	PeerLoads         bool // requests that peers have waiting at targets count as load
+	LearnedLatency    bool // predictions include the learned delays of slow targets and links
+	DeprioritizeLate  bool // in large fleets, requests predicted to be late queue behind others
+	StreamConnReuse   bool // streams that must not run twice are also sent on kept-alive connections
+	StoreZoneHomes    bool // prompts have their home target in the zone of the store that holds their parts
+	WarmupSenders     bool // a few instances send a target that is warming up what it can take; if off, no instance does
+	HeadsInFastStores bool // parts with which prompts begin are saved in the fastest stores
 }
 
-// switches are the mechanisms by the names under which experiments know them.
+// switches maps the names of the mechanisms, as used in settings, to their fields.
 var switches = map[string]func(*Policy) *bool{
 	"admission":    func(p *Policy) *bool { return &p.Admission },
 	"homes":        func(p *Policy) *bool { return &p.Homes },
@@ -42,13 +42,13 @@
 // Default returns the policy with all mechanisms in use.
 func Default() Policy {
 	var p Policy
-	for _, at := range switches {
-		*at(&p) = true
+	for _, field := range switches {
+		*field(&p) = true
 	}
 	return p
 }
 
-// Names are the mechanisms that can be switched off, sorted.
+// Names returns the sorted names of the mechanisms that can be switched off.
 func Names() []string {
 	var out []string
 	for name := range switches {
@@ -58,22 +58,22 @@
 	return out
 }
 
-// UnknownMechanismError says that there is no mechanism of a name.
+// UnknownMechanismError reports a name that is not the name of a mechanism.
 type UnknownMechanismError struct{ Name string }
 
 // Error implements error.
 func (e *UnknownMechanismError) Error() string {
-	return "policy: no mechanism " + e.Name + "; there are " + strings.Join(Names(), ", ")
+	return "policy: unknown mechanism " + e.Name + "; known mechanisms: " + strings.Join(Names(), ", ")
 }
 
-// Without returns p without the mechanisms named.
+// Without returns p with the named mechanisms switched off.
 func (p Policy) Without(names ...string) (Policy, error) {
 	for _, name := range names {
-		at, ok := switches[name]
+		field, ok := switches[name]
 		if !ok {
 			return p, &UnknownMechanismError{Name: name}
 		}
-		*at(&p) = false
+		*field(&p) = false
 	}
 	return p, nil
 }
--- a/internal/core/policy/policy_test.go
+++ b/internal/core/policy/policy_test.go
@@ -9,8 +9,8 @@
 	"github.com/shedhoist/shedhoist/internal/core/policy"
 )
 
-// TestWithout: each mechanism is in use unless it is left out by its name, and a name that
-// is none is refused.
+// TestWithout checks that every mechanism is in use unless it is switched off by name, and that
+// an unknown name is refused.
 func TestWithout(t *testing.T) {
 	is := is.New(t)
 	all := policy.Default()
@@ -18,7 +18,7 @@
 	for _, name := range policy.Names() {
 		p, err := all.Without(name)
 		is.NoErr(err)
-		is.True(!seen[p]) // each name is another mechanism
+		is.True(!seen[p]) // each name switches off a different mechanism
 		seen[p] = true
 	}
 	none, err := all.Without(policy.Names()...)
