--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -1,5 +1,5 @@
-// Package metric names every metric of the daemon. docs/METRICS.md lists them
-// for operators.
+// Package metric defines every metric of the daemon. docs/METRICS.md describes
+// them for operators.
 package metric
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Counters without labels.
+// Counters and histograms without labels.
 var (
 	SavesSkipped          = metrics.NewCounter("shedhoist_keeps_skipped_total")
 	SavedBytes            = metrics.NewCounter("shedhoist_kept_bytes_total")
@@ -17,20 +17,20 @@
 	Resumes               = metrics.NewCounter("shedhoist_resumes_total")
 	RetryBudgetRefusals   = metrics.NewCounter("shedhoist_retry_budget_refusals_total")
 	MemoryFullRefusals    = metrics.NewCounter("shedhoist_memory_full_refusals_total")
-	WarmupRequests        = metrics.NewCounter("shedhoist_cold_requests_total") // sent to cold targets
+	WarmupRequests        = metrics.NewCounter("shedhoist_cold_requests_total") // sent to targets that are warming up
 	WarmupRefusals        = metrics.NewCounter("shedhoist_cold_refusals_total")
-	LeavingNotices        = metrics.NewCounter("shedhoist_leaving_words_total")   // answers in which a target says that it leaves
-	BackoffRequests       = metrics.NewCounter("shedhoist_rest_words_total")      // answers in which one asks for rest
-	BackoffRefusals       = metrics.NewCounter("shedhoist_rest_refusals_total")   // since all targets ask for rest
-	DelayedFetches        = metrics.NewCounter("shedhoist_fetches_delayed_total") // held, and not fetched: not complete for long enough
-	BlockedFetches        = metrics.NewCounter("shedhoist_fetches_blocked_total") // held, and not fetched: a save of them is not over
+	LeavingNotices        = metrics.NewCounter("shedhoist_leaving_words_total")   // responses in which a target announces that it is leaving
+	BackoffRequests       = metrics.NewCounter("shedhoist_rest_words_total")      // responses in which a target requests backoff
+	BackoffRefusals       = metrics.NewCounter("shedhoist_rest_refusals_total")   // because all targets are in backoff
+	DelayedFetches        = metrics.NewCounter("shedhoist_fetches_delayed_total") // parts held but not fetched: not yet complete for long enough
+	BlockedFetches        = metrics.NewCounter("shedhoist_fetches_blocked_total") // parts held but not fetched: a save of them is pending
 	UnreachableZones      = metrics.NewCounter("shedhoist_silent_zones_total")
 	EvacuatedRefusals     = metrics.NewCounter("shedhoist_evacuated_refusals_total")
-	TargetCrashes         = metrics.NewCounter("shedhoist_target_crashes_total") // found by requests that broke there
+	TargetCrashes         = metrics.NewCounter("shedhoist_target_crashes_total") // detected by requests that failed there
 	QuarantineRejections  = metrics.NewCounter("shedhoist_quarantine_rejections_total")
 	QuarantineTrials      = metrics.NewCounter("shedhoist_quarantine_trials_total")
 	UnusableTargetEntries = metrics.NewCounter("shedhoist_target_entries_unusable_total")
-	// UnreadableWeightVersions counts objects that name a weight version and can't be read.
+	// UnreadableWeightVersions counts weight version objects that can't be read.
 	UnreadableWeightVersions = metrics.NewCounter("shedhoist_weight_versions_unreadable_total")
 	UnreadableObjects        = metrics.NewCounter("shedhoist_objects_unreadable_total")
 	MismatchedResponses      = metrics.NewCounter("shedhoist_mismatched_answers_total")
@@ -48,40 +48,40 @@
 	Panics                   = metrics.NewCounter("shedhoist_panics_total")
 	ConfigErrors             = metrics.NewCounter("shedhoist_config_errors_total")
 	PlatformErrors           = metrics.NewCounter("shedhoist_platform_errors_total")
-	UpdatesFailed            = metrics.NewCounter("shedhoist_news_failed_total")  // a peer's news that were asked for and did not arrive whole
-	UpdatesBypassed          = metrics.NewCounter("shedhoist_news_doubted_total") // times at which an instance that goes by news asked the object store itself
+	UpdatesFailed            = metrics.NewCounter("shedhoist_news_failed_total")  // updates requested from a peer that did not arrive complete
+	UpdatesBypassed          = metrics.NewCounter("shedhoist_news_doubted_total") // times that an instance that follows its peers' updates read the object store instead
 	FirstToken               = metrics.NewHistogram("shedhoist_first_token_seconds")
-	PredictionError          = metrics.NewHistogram("shedhoist_prediction_error_seconds") // of the first answer, either way
+	PredictionError          = metrics.NewHistogram("shedhoist_prediction_error_seconds") // absolute error of the predicted time to the first response
 	BetweenTokens            = metrics.NewHistogram("shedhoist_between_tokens_seconds")
 )
 
-// PeerCallBytes counts what is written to peers by method, calls and answers.
+// PeerCallBytes counts the bytes written to peers by method, requests and responses.
 func PeerCallBytes(method string) *metrics.Counter {
 	return metrics.GetOrCreateCounter(fmt.Sprintf(`shedhoist_peer_call_bytes_total{method=%q}`, method))
 }
 
-// SetGauge sets a gauge by its name.
+// SetGauge sets the gauge of the given name, which it creates if necessary.
 func SetGauge(name string, value float64) { metrics.GetOrCreateGauge(name, nil).Set(value) }
 
-// Write writes all metrics, the process's own included, as Prometheus text.
+// Write writes all metrics, including those of the process, in the Prometheus text format.
 func Write(w io.Writer) { metrics.WritePrometheus(w, true) }
 
-// Requests counts final answers by kind ("model", "service") and outcome.
+// Requests counts final responses by kind ("model", "service") and outcome.
 func Requests(kind, outcome string) *metrics.Counter {
 	return metrics.GetOrCreateCounter(fmt.Sprintf(`shedhoist_requests_total{kind=%q,outcome=%q}`, kind, outcome))
 }
 
-// LimitRefusals counts requests refused by a customer's limit.
+// LimitRefusals counts requests refused because of a customer's limits.
 func LimitRefusals(customer, reason string) *metrics.Counter {
 	return metrics.GetOrCreateCounter(fmt.Sprintf(`shedhoist_limit_refusals_total{customer=%q,reason=%q}`, customer, reason))
 }
 
-// StoreErrors counts failed calls to a store.
+// StoreErrors counts failed requests to a store.
 func StoreErrors(store string) *metrics.Counter {
 	return metrics.GetOrCreateCounter(fmt.Sprintf(`shedhoist_store_errors_total{store=%q}`, store))
 }
 
-// Attempts counts how attempts at a target ended.
-func Attempts(target, end string) *metrics.Counter {
-	return metrics.GetOrCreateCounter(fmt.Sprintf(`shedhoist_attempts_total{target=%q,end=%q}`, target, end))
+// Attempts counts attempts at a target by how they ended.
+func Attempts(target, result string) *metrics.Counter {
+	return metrics.GetOrCreateCounter(fmt.Sprintf(`shedhoist_attempts_total{target=%q,end=%q}`, target, result))
 }
--- a/internal/metric/metric_test.go
+++ b/internal/metric/metric_test.go
@@ -10,10 +10,10 @@
 	"github.com/shedhoist/shedhoist/internal/metric"
 )
 
-// TestDocumented: each metric stands on the operators' page, by its whole name or
-// as a row's further suffix.
+// TestDocumented guards against metrics that docs/METRICS.md doesn't list, by full
+// name or as an additional suffix in a row.
 func TestDocumented(t *testing.T) {
-	page, err := os.ReadFile("../../docs/METRICS.md")
+	docs, err := os.ReadFile("../../docs/METRICS.md")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -22,10 +22,10 @@
 	metric.StoreErrors("x").Inc()
 	metric.Attempts("x", "x").Inc()
 	for _, name := range metrics.ListMetricNames() {
-		base, _, _ := strings.Cut(name, "{")
-		suffix := strings.TrimPrefix(base, "shedhoist_ledger")
-		if !strings.Contains(string(page), "`"+base) && (suffix == base || !strings.Contains(string(page), "`"+suffix+"`")) {
-			t.Errorf("%s is not on the page", base)
+		family, _, _ := strings.Cut(name, "{")
+		suffix := strings.TrimPrefix(family, "shedhoist_ledger")
+		if !strings.Contains(string(docs), "`"+family) && (suffix == family || !strings.Contains(string(docs), "`"+suffix+"`")) {
+			t.Errorf("%s is not listed in docs/METRICS.md", family)
 		}
 	}
 }
