--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -12,33 +12,33 @@
 	"time"
 )
 
-// Client speaks the object API over HTTP (docs/STANDINS.md, "platform").
+// Client is a client of the platform's object API over HTTP (docs/STANDINS.md, "platform").
 type Client struct {
-	base  string
-	token string
-	http  *http.Client
-	call  time.Duration // bound on one call that does not wait
+	base        string
+	token       string
+	http        *http.Client
+	callTimeout time.Duration // timeout of one request, excluding the wait of a watch
 }
 
-// DefaultCallTimeout bounds one call to the platform.
+// DefaultCallTimeout is the timeout of one request to the platform.
 const DefaultCallTimeout = 3 * time.Second
 
-// maxListing bounds the answer to a list or a watch, in bytes.
-const maxListing = 8 << 20
+// maxListingBytes is the maximum size of the response to a list or a watch.
+const maxListingBytes = 8 << 20
 
-// NewClient returns a client of the API at base, such as "http://10.0.0.1:80".
-func NewClient(base, token string, hc *http.Client) *Client {
-	if hc == nil {
-		hc = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: time.Minute}}
+// NewClient returns a client of the API at base, such as "http://10.0.0.1:80". A nil httpClient selects a default.
+func NewClient(base, token string, httpClient *http.Client) *Client {
+	if httpClient == nil {
+		httpClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: time.Minute}}
 	}
-	return &Client{base: strings.TrimRight(base, "/"), token: token, http: hc, call: DefaultCallTimeout}
+	return &Client{base: strings.TrimRight(base, "/"), token: token, http: httpClient, callTimeout: DefaultCallTimeout}
 }
 
 // Get implements Store.
 func (c *Client) Get(ctx context.Context, key string) (Object, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.call)
+	ctx, cancel := context.WithTimeout(ctx, c.callTimeout)
 	defer cancel()
-	resp, body, err := c.do(ctx, request{op: "get", method: http.MethodGet, path: objectPath(key), key: key, limit: MaxValue})
+	resp, body, err := c.do(ctx, request{op: "get", method: http.MethodGet, path: objectPath(key), key: key, maxBytes: MaxValue})
 	if err != nil {
 		return Object{}, err
 	}
@@ -50,22 +50,22 @@
 
 // Put implements Store.
 func (c *Client) Put(ctx context.Context, key string, value []byte, want Version) (Version, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.call)
+	ctx, cancel := context.WithTimeout(ctx, c.callTimeout)
 	defer cancel()
-	return c.write(ctx, request{op: "put", method: http.MethodPut, path: objectPath(key), key: key, body: value, cond: &want})
+	return c.write(ctx, request{op: "put", method: http.MethodPut, path: objectPath(key), key: key, body: value, wantVersion: &want})
 }
 
 // Delete implements Store.
 func (c *Client) Delete(ctx context.Context, key string, want Version) error {
-	ctx, cancel := context.WithTimeout(ctx, c.call)
+	ctx, cancel := context.WithTimeout(ctx, c.callTimeout)
 	defer cancel()
-	_, err := c.write(ctx, request{op: "delete", method: http.MethodDelete, path: objectPath(key), key: key, cond: &want})
+	_, err := c.write(ctx, request{op: "delete", method: http.MethodDelete, path: objectPath(key), key: key, wantVersion: &want})
 	return err
 }
 
 // List implements Store.
 func (c *Client) List(ctx context.Context, prefix string) (Listing, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.call)
+	ctx, cancel := context.WithTimeout(ctx, c.callTimeout)
 	defer cancel()
 	q := url.Values{"prefix": {prefix}}
 	var out Listing
@@ -75,7 +75,7 @@
 
 // Watch implements Store.
 func (c *Client) Watch(ctx context.Context, prefix string, after Version, wait time.Duration) (Listing, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+c.call)
+	ctx, cancel := context.WithTimeout(ctx, wait+c.callTimeout)
 	defer cancel()
 	q := url.Values{"prefix": {prefix}, "after": {strconv.FormatUint(uint64(after), 10)}, "wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)}}
 	var out Listing
@@ -85,24 +85,26 @@
 
 // Machines implements Store.
 func (c *Client) Machines(ctx context.Context) ([]Machine, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.call)
+	ctx, cancel := context.WithTimeout(ctx, c.callTimeout)
 	defer cancel()
 	var out []Machine
 	err := c.getJSON(ctx, "machines", "/v1/machines", "", &out)
 	return out, err
 }
 
+// request is one request to the API.
 type request struct {
 	op, method, path, key string
 	body                  []byte
-	cond                  *Version
-	limit                 int64
+	wantVersion           *Version
+	maxBytes              int64
 }
 
-// write sends a conditional write. Any failure after the request may have left
-// this machine is Unknown: only a 412 or another 4xx says it did not happen.
+// write sends a conditional write. The outcome of any failure after the request may
+// have left this machine is unknown: only a 412 or another 4xx confirms that the
+// write did not happen.
 func (c *Client) write(ctx context.Context, r request) (Version, error) {
-	r.limit = MaxValue
+	r.maxBytes = MaxValue
 	resp, _, err := c.do(ctx, r)
 	if err != nil {
 		return 0, err
@@ -111,13 +113,13 @@
 	case http.StatusOK, http.StatusCreated, http.StatusNoContent:
 		return etag(resp), nil
 	case http.StatusPreconditionFailed, http.StatusNotFound:
-		return 0, &ConflictError{Key: r.key, Want: *r.cond, Have: etag(resp)}
+		return 0, &ConflictError{Key: r.key, Want: *r.wantVersion, Have: etag(resp)}
 	}
 	return 0, &UnavailableError{Op: r.op, Key: r.key, Status: resp.StatusCode}
 }
 
 func (c *Client) getJSON(ctx context.Context, op, path, key string, out any) error {
-	_, body, err := c.do(ctx, request{op: op, method: http.MethodGet, path: path, key: key, limit: maxListing})
+	_, body, err := c.do(ctx, request{op: op, method: http.MethodGet, path: path, key: key, maxBytes: maxListingBytes})
 	if err != nil {
 		return err
 	}
@@ -128,7 +130,7 @@
 }
 
 func (c *Client) do(ctx context.Context, r request) (*http.Response, []byte, error) {
-	isWrite := r.cond != nil
+	isWrite := r.wantVersion != nil
 	fail := func(status int, err error) error {
 		unknown := isWrite && (status == 0 || status >= 500)
 		return &UnavailableError{Op: r.op, Key: r.key, Status: status, OutcomeUnknown: unknown, Cause: err}
@@ -139,7 +141,7 @@
 	}
 	if isWrite {
 		req.GetBody = nil // the transport must not replay a write by itself
-		setCondition(req.Header, *r.cond)
+		setCondition(req.Header, *r.wantVersion)
 	}
 	if c.token != "" {
 		req.Header.Set("Authorization", "Bearer "+c.token)
@@ -149,12 +151,12 @@
 		return nil, nil, fail(0, err)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, r.limit+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, r.maxBytes+1))
 	if err != nil {
 		return nil, nil, fail(0, err)
 	}
-	if int64(len(body)) > r.limit {
-		return nil, nil, fail(resp.StatusCode, &TooLargeError{Key: r.key, Limit: r.limit})
+	if int64(len(body)) > r.maxBytes {
+		return nil, nil, fail(resp.StatusCode, &TooLargeError{Key: r.key, Limit: r.maxBytes})
 	}
 	if resp.StatusCode >= 500 || resp.StatusCode == http.StatusTooManyRequests {
 		return nil, nil, fail(resp.StatusCode, nil)
@@ -162,7 +164,7 @@
 	return resp, body, nil
 }
 
-// TooLargeError says that an answer passed its size limit, in bytes.
+// TooLargeError reports a response that exceeds its size limit, in bytes.
 type TooLargeError struct {
 	Key   string
 	Limit int64
@@ -170,7 +172,7 @@
 
 // Error implements error.
 func (e *TooLargeError) Error() string {
-	return "platform: answer for " + e.Key + " is over " + strconv.FormatInt(e.Limit, 10) + " bytes"
+	return "platform: response for " + e.Key + " exceeds " + strconv.FormatInt(e.Limit, 10) + " bytes"
 }
 
 func objectPath(key string) string {
--- a/internal/platform/kinds.go
+++ b/internal/platform/kinds.go
@@ -5,53 +5,53 @@
 	"time"
 )
 
-// NamedObject is one object of a kind, with its value.
+// NamedObject is one object of a kind together with its value.
 type NamedObject struct {
 	Name    string
 	Version Version
 	Value   []byte // as stored
 }
 
-// Snapshot is all objects of a kind at a revision.
+// Snapshot holds all objects of a kind at a revision.
 type Snapshot struct {
 	Revision Version
 	Objects  []NamedObject
-	// Unreadable is how many objects can\'t be read and are left out.
+	// Unreadable is the number of objects that can't be decoded and are omitted.
 	Unreadable int
 }
 
-// Change is one change of a kind. A deleted object has its last value, if the
-// platform told it.
+// Change is one change of an object of a kind. A deleted object has its last value
+// if the platform reported it.
 type Change struct {
 	NamedObject
 	Deleted bool
 }
 
-// Changes is the answer to a watch: what changed, and the revision up to which
-// that is complete.
+// Changes is the response to a watch: the changes, and the revision up to which
+// they are complete.
 type Changes struct {
 	Revision Version
 	Changes  []Change
-	// Unreadable is how many changes can\'t be read and are left out.
+	// Unreadable is the number of changes that can't be decoded and are omitted.
 	Unreadable int
 }
 
-// KindStore is the object API of a platform that sorts its objects by kind and hands
-// out values on lists and watches. Errors are those of Store.
+// KindStore is the object API of a platform that groups its objects by kind and
+// includes values in lists and watches. Errors are those of Store.
 type KindStore interface {
-	// List lists a kind whole, over as many pages as it takes.
+	// List returns all objects of a kind, over as many pages as needed.
 	List(ctx context.Context, kind string) (Snapshot, error)
-	// Watch waits up to wait for changes of a kind after a revision. It returns
-	// a *HistoryLostError if the platform no longer knows all of them.
+	// Watch waits for changes of a kind after a revision, for at most wait. It returns
+	// a *HistoryLostError if the platform no longer retains all of them.
 	Watch(ctx context.Context, kind string, after Version, wait time.Duration) (Changes, error)
-	// Get returns one object or a *NotFoundError.
+	// Get returns one object, or a *NotFoundError.
 	Get(ctx context.Context, kind, name string) (NamedObject, error)
-	// Put writes value if the object's version still is want (0: must not
-	// exist). Its failures are those of Store.Put.
+	// Put writes value if the object's version is still want (0: it must not
+	// exist). Its errors are those of Store.Put.
 	Put(ctx context.Context, kind, name string, value []byte, want Version) (Version, error)
 }
 
-// HistoryLostError says that changes were forgotten: the kind must be listed anew.
+// HistoryLostError reports that the platform dropped changes from its history: the kind must be relisted.
 type HistoryLostError struct {
 	Kind  string
 	After Version
@@ -59,5 +59,5 @@
 
 // Error implements error.
 func (e *HistoryLostError) Error() string {
-	return "platform: changes of " + e.Kind + " are no longer known"
+	return "platform: changes of " + e.Kind + " are no longer retained"
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform is the client of the platform's object API: versioned
-// objects, conditional updates, watches, and the lagging list of machines.
-// Everything that must last goes through this interface.
+// Package platform defines the platform's object API and a client of it: versioned
+// objects, conditional updates, watches, and the list of machines, which lags
+// behind. All durable state is stored through this interface.
 package platform
 
 import (
@@ -10,34 +10,34 @@
 )
 
 // Version is an object's version: the store-wide revision of its last write.
-// 0 stands for "does not exist".
+// 0 means that the object does not exist.
 type Version uint64
 
-// MaxValue is the largest value the platform takes, in bytes (brief, "Where it will run").
+// MaxValue is the largest value that the platform accepts, in bytes (brief, "Where it will run").
 const MaxValue = 1 << 20
 
-// Object is one stored value.
+// Object is a stored value with its key and version.
 type Object struct {
 	Key     string
 	Version Version
 	Value   []byte
 }
 
-// Meta names one object without its value.
+// Meta describes an object without its value.
 type Meta struct {
 	Key     string  `json:"key"`
 	Version Version `json:"version"`
 	Deleted bool    `json:"deleted,omitempty"`
 }
 
-// Listing is the answer to a list or a watch: what there is or what changed,
-// and the revision up to which it is complete.
+// Listing is the response to a list or a watch: the existing or the changed
+// objects, and the revision up to which they are complete.
 type Listing struct {
 	Revision Version `json:"revision"`
 	Objects  []Meta  `json:"objects"`
 }
 
-// Machine is one row of the lagging list.
+// Machine is one entry of the list of machines, which lags behind.
 type Machine struct {
 	Name    string `json:"name"`
 	Kind    string `json:"kind"` // "instance", "target" or "store"
@@ -46,38 +46,38 @@
 	State   string `json:"state"` // StateLive or StateLeaving
 }
 
-// States of a machine in the lagging list.
+// States of a machine in the list of machines.
 const (
 	StateLive    = "live"
 	StateLeaving = "leaving"
 )
 
-// Store is the object API.
+// Store is the platform's object API.
 type Store interface {
-	// Get returns the object or a *NotFoundError.
+	// Get returns the object, or a *NotFoundError.
 	Get(ctx context.Context, key string) (Object, error)
-	// Put writes value if the object's version still is want (0: must not
+	// Put writes value if the object's version is still want (0: it must not
 	// exist). It returns the new version, a *ConflictError, or an
-	// *UnavailableError whose Unknown says that the write may have happened.
+	// *UnavailableError, whose OutcomeUnknown is set if the write may have happened.
 	Put(ctx context.Context, key string, value []byte, want Version) (Version, error)
-	// Delete removes the object if its version still is want.
+	// Delete removes the object if its version is still want.
 	Delete(ctx context.Context, key string, want Version) error
-	// List names the objects below a prefix.
+	// List returns the objects below a prefix, without their values.
 	List(ctx context.Context, prefix string) (Listing, error)
-	// Watch waits up to wait for changes below prefix after a revision. An
-	// empty listing means that nothing changed.
+	// Watch waits for changes below prefix after a revision, for at most wait.
+	// An empty listing means that nothing changed.
 	Watch(ctx context.Context, prefix string, after Version, wait time.Duration) (Listing, error)
-	// Machines returns the lagging list.
+	// Machines returns the list of machines, which lags behind.
 	Machines(ctx context.Context) ([]Machine, error)
 }
 
-// NotFoundError says that no such object exists.
+// NotFoundError reports that an object does not exist.
 type NotFoundError struct{ Key string }
 
 // Error implements error.
-func (e *NotFoundError) Error() string { return "platform: no object " + e.Key }
+func (e *NotFoundError) Error() string { return "platform: object not found: " + e.Key }
 
-// ConflictError says that a conditional update lost: the object is at Have.
+// ConflictError reports that a conditional update failed: the object is at version Have, not Want.
 type ConflictError struct {
 	Key        string
 	Want, Have Version
@@ -88,12 +88,12 @@
 	return fmt.Sprintf("platform: %s is at version %d, not %d", e.Key, e.Have, e.Want)
 }
 
-// UnavailableError says that the platform did not answer usefully. Unknown is
-// true when a write may have taken effect all the same.
+// UnavailableError reports that the platform gave no usable response. OutcomeUnknown
+// is true if a write may nevertheless have taken effect.
 type UnavailableError struct {
 	Op             string
 	Key            string
-	Status         int // HTTP status, 0 when there was no answer
+	Status         int // HTTP status, 0 if there was no response
 	OutcomeUnknown bool
 	Cause          error
 }
