--- a/internal/kvstore/kvstore.go
+++ b/internal/kvstore/kvstore.go
@@ -1,7 +1,7 @@
-// Package kvstore is the edge towards store instances, which keep cache
-// outside accelerators in a memory tier and a disk tier. Cache bytes never
-// pass through an entry instance: this client only asks what a store holds;
-// engines move the bytes. The dialect stands in docs/STANDINS.md, "store".
+// Package kvstore is the client of the cache stores, which hold cache outside
+// accelerators in a memory tier and a disk tier. Cache bytes never pass through
+// an entry instance: this client only queries what a store holds, and engines
+// transfer the bytes. docs/STANDINS.md, "store", describes the protocol.
 package kvstore
 
 import (
@@ -15,24 +15,24 @@
 	"time"
 )
 
-// Tier is where a store holds a manifest's pieces.
+// Tier is the storage tier in which a store holds a manifest's pieces.
 type Tier string
 
-// Tiers.
+// The tiers of a store.
 const (
 	Memory Tier = "memory"
 	Disk   Tier = "disk"
 )
 
-// Piece is one piece of a kept chain: about a thousand tokens of cache.
+// Piece is one piece of a stored chain: about a thousand tokens of cache.
 type Piece struct {
 	Key    string `json:"key"`
 	Bytes  int64  `json:"bytes"`
 	SHA256 string `json:"sha256"`
 }
 
-// Manifest lists a kept chain. It is written after all its pieces, and only
-// what a manifest lists may be read.
+// Manifest lists the pieces of a stored chain. It is written after all of them, and
+// only pieces that a manifest lists may be read.
 type Manifest struct {
 	Key     string  `json:"key"` // last key of the chain
 	Model   string  `json:"model"`
@@ -42,19 +42,19 @@
 	Pieces  []Piece `json:"pieces"`
 }
 
-// LookupRequest asks how much of a chain is kept.
+// LookupRequest queries how much of a chain is stored.
 type LookupRequest struct {
 	Keys []string `json:"cache_keys"`
 }
 
-// LookupResult is the answer to a Lookup. Covered leading keys are kept below
-// Manifest; 0 means none.
+// LookupResult is the response to a LookupRequest. Covered is the number of leading
+// keys that are stored under Manifest; 0 means none.
 type LookupResult struct {
 	Covered  int     `json:"covered"`
 	Manifest string  `json:"manifest,omitempty"`
 	Tier     Tier    `json:"tier,omitempty"`
 	Bytes    int64   `json:"bytes"`
-	QueueMS  float64 `json:"queue_ms"` // wait of the tier's link
+	QueueMS  float64 `json:"queue_ms"` // queueing delay of the tier's link
 }
 
 // Status is a store's report of itself.
@@ -68,7 +68,7 @@
 	Manifests   int     `json:"manifests"`
 }
 
-// Error says that a call to a store failed.
+// Error reports that a request to a store failed.
 type Error struct {
 	Store, Path string
 	Status      int
@@ -90,19 +90,19 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Client asks stores what they hold.
+// Client queries what stores hold.
 type Client struct{ http *http.Client }
 
-// maxAnswer bounds a store's answer, in bytes.
-const maxAnswer = 1 << 20
+// maxResponseBytes is the maximum size of a store's response.
+const maxResponseBytes = 1 << 20
 
-// NewClient returns a client whose connects are bounded by connect.
+// NewClient returns a client with connect as its connection timeout.
 func NewClient(connect time.Duration) *Client {
 	dialer := &net.Dialer{Timeout: connect}
 	return &Client{http: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 32, IdleConnTimeout: time.Minute}}}
 }
 
-// Lookup asks one store how much of a chain it keeps.
+// Lookup queries how much of a chain a store holds.
 func (c *Client) Lookup(ctx context.Context, address string, keys []string) (LookupResult, error) {
 	body, err := json.Marshal(LookupRequest{Keys: keys})
 	if err != nil {
@@ -112,7 +112,7 @@
 	return out, c.call(ctx, http.MethodPost, address, "/v1/lookup", body, &out)
 }
 
-// Status asks one store for its report.
+// Status returns a store's status report.
 func (c *Client) Status(ctx context.Context, address string) (Status, error) {
 	var out Status
 	return out, c.call(ctx, http.MethodGet, address, "/v1/status", nil, &out)
@@ -131,7 +131,7 @@
 		return fail(0, err)
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return fail(resp.StatusCode, err)
 	}
@@ -144,5 +144,5 @@
 	return nil
 }
 
-// NewClientWithHTTP returns a client on an HTTP client of the caller's.
-func NewClientWithHTTP(hc *http.Client) *Client { return &Client{http: hc} }
+// NewClientWithHTTP returns a client that uses the given HTTP client.
+func NewClientWithHTTP(httpClient *http.Client) *Client { return &Client{http: httpClient} }
