--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,6 +1,6 @@
-// Package why keeps the reasons behind each recent request: which targets were
-// considered at what cost, what was chosen, each attempt and its end. Records
-// hold no prompt, no answer, no key and no secret.
+// Package explain records how each recent request was handled: the targets that were
+// considered and their costs, the choice, and each attempt and its result. Records
+// contain no prompt, response, key or secret.
 package explain
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/shedhoist/shedhoist/internal/problem"
 )
 
-// Record is the why-record of one request.
+// Record explains how one request was handled.
 type Record struct {
 	ID              string            `json:"id"`
 	Instance        string            `json:"instance"` // the entry instance that served it
@@ -31,10 +31,10 @@
 	Attempts        []Attempt         `json:"attempts"`
 	Outcome         string            `json:"outcome"` // "done" or a problem kind
 	Execution       problem.Execution `json:"execution"`
-	SavedIn         string            `json:"kept_in,omitempty"` // store that was asked to keep the prefix
+	SavedIn         string            `json:"kept_in,omitempty"` // store in which the prefix was requested to be saved
 }
 
-// Attempt is one attempt and why it went where it went.
+// Attempt is one attempt and the reasons for its choice of target.
 type Attempt struct {
 	Target      string            `json:"target"`
 	Action      string            `json:"action"` // recompute, reuse, restore
@@ -42,12 +42,12 @@
 	PredictedMS float64           `json:"predicted_first_ms"`
 	Candidates  []route.Candidate `json:"candidates"`
 	Filtered    route.Filtered    `json:"filtered"`
-	StartMS     float64           `json:"start_ms"` // after arrival
+	StartMS     float64           `json:"start_ms"` // since arrival
 	Result      string            `json:"ended"`
 	Next        string            `json:"next,omitempty"` // retry, resume
 }
 
-// LastTarget is the target of the last attempt, or "".
+// LastTarget returns the target of the last attempt, or "" if there is none.
 func (r *Record) LastTarget() string {
 	if len(r.Attempts) == 0 {
 		return ""
@@ -55,7 +55,7 @@
 	return r.Attempts[len(r.Attempts)-1].Target
 }
 
-// LastAction is how the last attempt meant to get its cache, or "".
+// LastAction returns how the last attempt was to obtain its cache, or "" if there is none.
 func (r *Record) LastAction() string {
 	if len(r.Attempts) == 0 {
 		return ""
@@ -63,7 +63,7 @@
 	return r.Attempts[len(r.Attempts)-1].Action
 }
 
-// Log keeps the last n records. It is safe for many goroutines.
+// Log retains the most recent records. It is safe for concurrent use.
 type Log struct {
 	mu   sync.Mutex
 	ring []*Record
@@ -71,10 +71,10 @@
 	byID map[string]*Record
 }
 
-// NewLog returns a log of n records.
+// NewLog returns a log that retains n records.
 func NewLog(n int) *Log { return &Log{ring: make([]*Record, n), byID: make(map[string]*Record, n)} }
 
-// Add keeps a finished record; it must not change afterwards.
+// Add adds a finished record, which must not be modified afterwards.
 func (l *Log) Add(r *Record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,14 +86,14 @@
 	l.next = (l.next + 1) % len(l.ring)
 }
 
-// Get returns the record of a request, or nil.
+// Get returns the record of a request, or nil if it is not retained.
 func (l *Log) Get(id string) *Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.byID[id]
 }
 
-// Len is the number of records held.
+// Len returns the number of records retained.
 func (l *Log) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
