--- a/internal/core/policy/policy.go
+++ b/internal/core/policy/policy.go
@@ -11,9 +11,9 @@
 type Policy struct {
 	Admission         bool // requests are refused while the targets' memory is full
 	Homes             bool // prompts are preferably sent to the home target of their last shared part
-	ScoreJitter       bool // scores are randomized, so that instances do not all select the same target
+	ScoreJitter       bool // random jitter on the scores prevents all instances from selecting the same target
 	LinkWeight        bool // transfer time on a shared link has a higher weight than other time
-	OldWeightsPenalty bool // targets that serve an old weight version score lower
+	OldWeightsPenalty bool // targets that serve an outdated weight version get a cost penalty
 	PeerLoads         bool // requests that peers have waiting at targets count as load
 	LearnedLatency    bool // predictions include the learned delays of slow targets and links
 	DeprioritizeLate  bool // in large fleets, requests predicted to be late queue behind others
