--- a/internal/core/placement/bench_test.go
+++ b/internal/core/placement/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/shedhoist/shedhoist/internal/core/policy"
 )
 
-// BenchmarkSelect times one decision among as many targets as small, large and future
-// fleets have.
+// BenchmarkSelect times one selection among 9, 60 and 600 targets: the sizes of small, large
+// and future fleets.
 func BenchmarkSelect(b *testing.B) {
 	for _, n := range []int{9, 60, 600} {
 		targets := make([]placement.Target, n)
--- a/internal/core/placement/load_pattern_test.go
+++ b/internal/core/placement/load_pattern_test.go
@@ -13,214 +13,216 @@
 	"github.com/shedhoist/shedhoist/internal/core/policy"
 )
 
-// The model of this file plays load patterns against Decide without a network: engines that
-// read prompts in pieces between the steps of their runs, with a memory for runs and for
-// shared parts that were read before. Its figures are those that operators declare or that
-// were measured of model servers on the platform: 48.2 tokens read in a millisecond, pieces
-// of 2,048, steps of 2.6 ms and 0.12 ms more a run, memory for 70,457 tokens.
+// This file simulates load patterns against Select without a network. The simulated engines
+// use chunked prefill between decoding steps, and hold running requests and a prefix cache in
+// one memory. The constants are those of the platform's model servers: prefill of 48.2 tokens
+// per millisecond in chunks of 2,048, steps of 2.6 ms plus 0.12 ms per running request, and
+// memory for 70,457 tokens.
 const (
-	readPerMS    = 48.2
-	piece        = 2048
-	stepMS       = 2.6
-	stepPerRunMS = 0.12
-	memory       = 70_457
+	prefillTokensPerMS = 48.2
+	chunkTokens        = 2048
+	stepMS             = 2.6
+	stepMSPerRun       = 0.12
+	memoryTokens       = 70_457
 )
 
-// kind is a kind of prompt.
-type kind struct {
-	perSecond           float64
-	subjects            int
-	shared, own, answer int // tokens
-	objective           float64
-	patience            float64 // ms
+// promptKind describes a class of prompts.
+type promptKind struct {
+	perSecond                             float64
+	prefixes                              int // number of different shared prefixes
+	sharedTokens, ownTokens, outputTokens int
+	objectiveMS                           float64
+	timeoutMS                             float64
 }
 
-// Long prompts with long answers beside short ones with short answers, as a customer of the
-// platform sends them: together 252,000 tokens a second where nothing is found in memory,
-// 0.58 of what nine engines read.
-var kinds = []kind{
-	{perSecond: 11.9, subjects: 119, shared: 9122, own: 2870, answer: 385, objective: 1200, patience: 12_000},
-	{perSecond: 46.2, subjects: 461, shared: 1861, own: 507, answer: 22, objective: 1200, patience: 3000},
+// promptKinds are long prompts with long outputs and short prompts with short outputs, like the
+// requests of a customer of the platform. Without cache hits they need a prefill of 252,000
+// tokens per second, 0.58 of the capacity of nine engines.
+var promptKinds = []promptKind{
+	{perSecond: 11.9, prefixes: 119, sharedTokens: 9122, ownTokens: 2870, outputTokens: 385, objectiveMS: 1200, timeoutMS: 12_000},
+	{perSecond: 46.2, prefixes: 461, sharedTokens: 1861, ownTokens: 507, outputTokens: 22, objectiveMS: 1200, timeoutMS: 3000},
 }
 
-// prompt is one request of the model.
+// prompt is one simulated request.
 type prompt struct {
-	kind    *kind
-	subject string
-	born    float64
-	first   float64 // time of the first answer; 0: none
-	unread  int
-	made    int
-	memory  int
+	kind             *promptKind
+	prefixKey        string
+	arrivedAt        float64
+	firstResponseAt  float64 // 0: no response so far
+	remainingPrefill int
+	generated        int
+	usedTokens       int
 }
 
-// engine is one model server.
+// engine is one simulated model server.
 type engine struct {
-	queue, runs []*prompt
-	parts       []string // shared parts in memory, the least recently used first
-	sizes       map[string]int
-	free        float64 // when the step under way ends
+	queue, running []*prompt
+	cachedPrefixes []string // least recently used first
+	prefixTokens   map[string]int
+	stepEndsAt     float64 // end of the current step
 }
 
-func (e *engine) used() int {
+func (e *engine) usedTokens() int {
 	n := 0
-	for _, p := range e.runs {
-		n += p.memory
+	for _, p := range e.running {
+		n += p.usedTokens
 	}
 	return n
 }
 
-// touch keeps a shared part as the most recently used one, in what runs leave.
-func (e *engine) touch(p *prompt) {
-	e.parts = append(slices.DeleteFunc(e.parts, func(s string) bool { return s == p.subject }), p.subject)
-	e.sizes[p.subject] = p.kind.shared
+// markUsed caches a prompt's shared prefix as the most recently used one, if the running
+// requests leave enough memory.
+func (e *engine) markUsed(p *prompt) {
+	e.cachedPrefixes = append(slices.DeleteFunc(e.cachedPrefixes, func(s string) bool { return s == p.prefixKey }), p.prefixKey)
+	e.prefixTokens[p.prefixKey] = p.kind.sharedTokens
 	e.evict()
 }
 
+// evict drops the least recently used prefixes that do not fit beside the running requests.
 func (e *engine) evict() {
-	room := memory - e.used()
-	for i := len(e.parts) - 1; i >= 0; i-- {
-		if room -= e.sizes[e.parts[i]]; room < 0 {
-			e.parts = e.parts[i+1:]
+	freeTokens := memoryTokens - e.usedTokens()
+	for i := len(e.cachedPrefixes) - 1; i >= 0; i-- {
+		if freeTokens -= e.prefixTokens[e.cachedPrefixes[i]]; freeTokens < 0 {
+			e.cachedPrefixes = e.cachedPrefixes[i+1:]
 			return
 		}
 	}
 }
 
-// admit begins what waits as long as there is memory.
+// admit starts queued prompts as long as there is memory for them.
 func (e *engine) admit(now float64) {
 	for len(e.queue) > 0 {
 		p := e.queue[0]
-		if now > p.born+p.kind.patience {
+		if now > p.arrivedAt+p.kind.timeoutMS {
 			e.queue = e.queue[1:]
 			continue
 		}
-		need := p.kind.shared + p.kind.own
-		if e.used()+need > memory {
+		neededTokens := p.kind.sharedTokens + p.kind.ownTokens
+		if e.usedTokens()+neededTokens > memoryTokens {
 			return
 		}
 		e.queue = e.queue[1:]
-		p.memory, p.unread = need+p.made, p.kind.own+p.made
-		if !slices.Contains(e.parts, p.subject) {
-			p.unread += p.kind.shared
+		p.usedTokens, p.remainingPrefill = neededTokens+p.generated, p.kind.ownTokens+p.generated
+		if !slices.Contains(e.cachedPrefixes, p.prefixKey) {
+			p.remainingPrefill += p.kind.sharedTokens
 		}
-		e.runs = append(e.runs, p)
+		e.running = append(e.running, p)
 		e.evict()
 	}
 }
 
-// step carries out one step.
+// step runs one step: a chunk of prefill, and one output token of each prompt past its prefill.
 func (e *engine) step(now float64) {
 	e.admit(now)
-	if len(e.runs) == 0 {
-		e.free = now + 1
+	if len(e.running) == 0 {
+		e.stepEndsAt = now + 1
 		return
 	}
-	left := piece
-	for _, p := range e.runs {
-		n := min(p.unread, left)
-		p.unread, left = p.unread-n, left-n
+	budget := chunkTokens
+	for _, p := range e.running {
+		n := min(p.remainingPrefill, budget)
+		p.remainingPrefill, budget = p.remainingPrefill-n, budget-n
 	}
-	e.free = now + stepMS + stepPerRunMS*float64(len(e.runs)) + float64(piece-left)/readPerMS
-	for _, p := range e.runs {
-		if p.unread > 0 {
+	e.stepEndsAt = now + stepMS + stepMSPerRun*float64(len(e.running)) + float64(chunkTokens-budget)/prefillTokensPerMS
+	for _, p := range e.running {
+		if p.remainingPrefill > 0 {
 			continue
 		}
-		if p.first == 0 {
-			p.first = e.free
+		if p.firstResponseAt == 0 {
+			p.firstResponseAt = e.stepEndsAt
 		}
-		if p.made == 0 {
-			e.touch(p)
+		if p.generated == 0 {
+			e.markUsed(p)
 		}
-		p.made, p.memory = p.made+1, p.memory+1
+		p.generated, p.usedTokens = p.generated+1, p.usedTokens+1
 	}
-	e.runs = slices.DeleteFunc(e.runs, func(p *prompt) bool {
-		return p.made >= p.kind.answer || now > p.born+p.kind.patience
+	e.running = slices.DeleteFunc(e.running, func(p *prompt) bool {
+		return p.generated >= p.kind.outputTokens || now > p.arrivedAt+p.kind.timeoutMS
 	})
-	for e.used() > memory { // the newest loses its memory and is read anew
-		last := e.runs[len(e.runs)-1]
-		e.runs = e.runs[:len(e.runs)-1]
+	for e.usedTokens() > memoryTokens { // preempt the newest prompt; it needs another prefill
+		last := e.running[len(e.running)-1]
+		e.running = e.running[:len(e.running)-1]
 		e.queue = append([]*prompt{last}, e.queue...)
 	}
 	e.evict()
 }
 
-// pattern is a load: how many engines there are at a time, and how much more than usual is
-// asked for.
-type pattern struct {
-	engines func(ms float64) int
-	factor  func(ms float64) float64
+// loadPattern defines the number of running engines and the request rate, as a multiple of the
+// normal rate, over time.
+type loadPattern struct {
+	engines    func(ms float64) int
+	rateFactor func(ms float64) float64
 }
 
 const (
-	modelEngines = 9
-	modelSeconds = 40
-	window       = 2000.0 // ms
+	engineCount      = 9
+	simulatedSeconds = 40
+	windowMS         = 2000.0
 )
 
-// play returns for each window the share of the prompts that are answered in time.
-func play(pat pattern, pol policy.Policy) []float64 {
-	r := rand.New(rand.NewPCG(11, 12))
-	engines := make([]*engine, modelEngines)
+// simulate returns, for each window, the share of prompts with a first response in time.
+func simulate(pattern loadPattern, pol policy.Policy) []float64 {
+	rnd := rand.New(rand.NewPCG(11, 12))
+	engines := make([]*engine, engineCount)
 	for i := range engines {
-		engines[i] = &engine{sizes: map[string]int{}}
+		engines[i] = &engine{prefixTokens: map[string]int{}}
 	}
-	asked, inTime := make([]float64, modelSeconds*1000/window), make([]float64, modelSeconds*1000/window)
-	var all []*prompt
-	for now := 0.0; now < modelSeconds*1000; now++ {
-		up := pat.engines(now)
-		for i := range kinds {
-			k := &kinds[i]
-			if r.Float64() >= k.perSecond/1000*pat.factor(now) {
+	total, inTimeShare := make([]float64, simulatedSeconds*1000/windowMS), make([]float64, simulatedSeconds*1000/windowMS)
+	var prompts []*prompt
+	for now := 0.0; now < simulatedSeconds*1000; now++ {
+		running := pattern.engines(now)
+		for i := range promptKinds {
+			k := &promptKinds[i]
+			if rnd.Float64() >= k.perSecond/1000*pattern.rateFactor(now) {
 				continue
 			}
-			p := &prompt{kind: k, subject: fmt.Sprint(i, "/", r.IntN(k.subjects)), born: now}
-			all = append(all, p)
-			if at := decide(engines[:up], p, pol, r.Float64); at >= 0 {
-				engines[at].queue = append(engines[at].queue, p)
+			p := &prompt{kind: k, prefixKey: fmt.Sprint(i, "/", rnd.IntN(k.prefixes)), arrivedAt: now}
+			prompts = append(prompts, p)
+			if index := selectEngine(engines[:running], p, pol, rnd.Float64); index >= 0 {
+				engines[index].queue = append(engines[index].queue, p)
 			}
 		}
 		for i, e := range engines {
 			switch {
-			case i >= up:
-				*e = engine{sizes: map[string]int{}} // it lost its power: all that it had is lost
-			case e.free <= now:
+			case i >= running:
+				*e = engine{prefixTokens: map[string]int{}} // an engine that is down loses its state
+			case e.stepEndsAt <= now:
 				e.step(now)
 			}
 		}
 	}
-	for _, p := range all {
-		w := int(p.born / window)
-		asked[w]++
-		if p.first > 0 && p.first <= p.born+p.kind.objective {
-			inTime[w]++
+	for _, p := range prompts {
+		w := int(p.arrivedAt / windowMS)
+		total[w]++
+		if p.firstResponseAt > 0 && p.firstResponseAt <= p.arrivedAt+p.kind.objectiveMS {
+			inTimeShare[w]++
 		}
 	}
-	for w := range inTime {
-		inTime[w] /= asked[w]
+	for w := range inTimeShare {
+		inTimeShare[w] /= total[w]
 	}
-	return inTime
+	return inTimeShare
 }
 
-// decide asks Decide with what instances know: what runs and waits at each engine, not what
-// it holds in memory.
-func decide(engines []*engine, p *prompt, pol policy.Policy, rnd func() float64) int {
+// selectEngine calls Select with the data that instances have: the running and queued prompts
+// of each engine, but not the contents of its cache.
+func selectEngine(engines []*engine, p *prompt, pol policy.Policy, rnd func() float64) int {
 	targets := make([]placement.Target, len(engines))
 	for i, e := range engines {
-		t := placement.Target{ID: fmt.Sprint("t", i), Zone: "z", CapacityTokens: memory, UsedTokens: e.used(), InFlight: len(e.runs)}
-		ahead := p.kind.shared + p.kind.own
+		t := placement.Target{ID: fmt.Sprint("t", i), Zone: "z", CapacityTokens: memoryTokens, UsedTokens: e.usedTokens(), InFlight: len(e.running)}
+		queuedTokens := p.kind.sharedTokens + p.kind.ownTokens
 		for _, q := range e.queue {
-			t.UsedTokens += q.kind.shared + q.kind.own
-			ahead += q.kind.shared + q.kind.own
+			t.UsedTokens += q.kind.sharedTokens + q.kind.ownTokens
+			queuedTokens += q.kind.sharedTokens + q.kind.ownTokens
 		}
-		for _, q := range e.runs {
-			ahead += q.unread
+		for _, q := range e.running {
+			queuedTokens += q.remainingPrefill
 		}
-		t.FirstResponseMS = float64(ahead) / readPerMS
+		t.FirstResponseMS = float64(queuedTokens) / prefillTokensPerMS
 		targets[i] = t
 	}
-	return placement.Select(targets, placement.Query{Zone: "z", RolloutTimeout: 10 * time.Second, ConcurrencyPenaltyMS: 2, Rand: rnd, Policy: pol, PrefixKey: p.subject,
-		SharedPrefillMS: float64(p.kind.shared) / readPerMS, NeededTokens: p.kind.shared + p.kind.own + p.kind.answer}).Index
+	return placement.Select(targets, placement.Query{Zone: "z", RolloutTimeout: 10 * time.Second, ConcurrencyPenaltyMS: 2, Rand: rnd, Policy: pol, PrefixKey: p.prefixKey,
+		SharedPrefillMS: float64(p.kind.sharedTokens) / prefillTokensPerMS, NeededTokens: p.kind.sharedTokens + p.kind.ownTokens + p.kind.outputTokens}).Index
 }
 
 func mean(v []float64) float64 {
@@ -231,29 +233,29 @@
 	return sum / float64(len(v))
 }
 
-// TestLoadPatterns: a quarter of the engines is lost for 14 s and comes back empty; three
-// times as much is asked for during 3 s. With admission the share that is answered in time
-// is back at that before within 3 s of the cause's end, and stays well above half meanwhile.
-// Without it the engines' memory is overrun: prompts are read again and again, and the
-// share does not come back in the 20 s and more that follow.
+// TestLoadPatterns guards against overload that outlasts its cause. Either a quarter of the
+// engines is lost for 14 s and returns with empty memory, or the request rate triples for 3 s.
+// With admission control, the share of responses in time stays above a minimum meanwhile and
+// recovers within 3 s after the cause ends. Without it, the engines' memory overflows, prompts
+// are prefilled again and again, and the share stays low for the 20 s and more that follow.
 func TestLoadPatterns(t *testing.T) {
-	all := func(float64) int { return modelEngines }
-	usual := func(float64) float64 { return 1 }
+	allEngines := func(float64) int { return engineCount }
+	normalRate := func(float64) float64 { return 1 }
 	cases := []struct {
-		name      string
-		pattern   pattern
-		from, to  float64 // of the cause, ms
-		worst     float64 // share in time meanwhile, with admission
-		unhealed  float64 // and after it, without admission, at most
-		threshold float64 // of the share before
+		name                string
+		pattern             loadPattern
+		startMS, endMS      float64 // of the cause
+		minDuring           float64 // share in time while the cause lasts, with admission
+		maxWithoutAdmission float64 // share in time afterwards, without admission
+		minRecovered        float64 // share in time afterwards, with admission, relative to before
 	}{
-		{"a quarter of the engines lost and back", pattern{engines: func(ms float64) int {
+		{"a quarter of the engines lost and back", loadPattern{engines: func(ms float64) int {
 			if ms >= 4000 && ms < 18_000 {
-				return modelEngines - 2
+				return engineCount - 2
 			}
-			return modelEngines
-		}, factor: usual}, 4000, 18_000, 0.5, 0.6, 0.9},
-		{"a burst", pattern{engines: all, factor: func(ms float64) float64 {
+			return engineCount
+		}, rateFactor: normalRate}, 4000, 18_000, 0.5, 0.6, 0.9},
+		{"a burst", loadPattern{engines: allEngines, rateFactor: func(ms float64) float64 {
 			if ms >= 4000 && ms < 7000 {
 				return 3
 			}
@@ -264,15 +266,15 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			pol := policy.Default()
-			with := play(c.pattern, pol)
+			with := simulate(c.pattern, pol)
 			pol.Admission = false
-			without := play(c.pattern, pol)
-			t.Logf("in time, by 2 s: with admission %.2f, without %.2f", with, without)
-			before := mean(with[:int(c.from/window)])
-			healed := int((c.to + 3000 + window - 1) / window)
-			is.True(mean(with[int(c.from/window):int(c.to/window)]) > c.worst)
-			is.True(mean(with[healed:]) > c.threshold*before)
-			is.True(mean(without[healed:]) < c.unhealed)
+			without := simulate(c.pattern, pol)
+			t.Logf("share in time per 2 s window: with admission %.2f, without %.2f", with, without)
+			before := mean(with[:int(c.startMS/windowMS)])
+			firstAfter := int((c.endMS + 3000 + windowMS - 1) / windowMS)
+			is.True(mean(with[int(c.startMS/windowMS):int(c.endMS/windowMS)]) > c.minDuring)
+			is.True(mean(with[firstAfter:]) > c.minRecovered*before)
+			is.True(mean(without[firstAfter:]) < c.maxWithoutAdmission)
 		})
 	}
 }
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -1,7 +1,7 @@
-// Package place decides what becomes of one request now: to which of a service's targets
-// it is sent, or that it is refused. It goes by what this instance observed of each, and
-// by what its peers told: requests under way, what these keep in the target's memory, and
-// how long it took to answer lately. It is pure.
+// Package placement selects the target of a service that a request is sent to, or refuses
+// the request. The inputs are what this instance has observed of each target and what its
+// peers report: requests in flight, the target memory that they occupy, and recent response
+// times. The package does no I/O and reads no clock.
 package placement
 
 import (
@@ -14,134 +14,136 @@
 	"github.com/shedhoist/shedhoist/internal/core/policy"
 )
 
-// Target is one target as seen by the decision.
+// Target is the state of one candidate target.
 type Target struct {
 	ID              string
 	Zone            string
-	InFlight        int     // own requests under way
-	FirstResponseMS float64 // predicted time to the first answer, without the network
-	LinkOccupancyMS float64 // time that the request's fetch keeps a link from others
-	Excluded        bool    // tried before by this request
-	Ejected         bool    // failed lately
+	InFlight        int     // requests of this instance in flight at the target
+	FirstResponseMS float64 // predicted time to the first response, without network latency
+	LinkOccupancyMS float64 // time for which the request's cache fetch occupies a shared link
+	Excluded        bool    // already tried by this request
+	Ejected         bool    // ejected by the circuit breaker after recent failures
 	LacksModel      bool    // does not serve the request's model
-	ZoneUnreachable bool    // its zone is silent: a last resort, as if it were resting
-	WarmupLimited   bool    // cold, and bears nothing from this instance now
-	InBackoff       bool    // wants no requests from this instance now, and gets none
-	// Weight is how many times more prompts than usual have their home here: a cold target takes
-	// them from few instances. 0 is once.
+	ZoneUnreachable bool    // its zone is unreachable: a last resort, like an ejected target
+	WarmupLimited   bool    // warming up, and this instance may send it no request now
+	InBackoff       bool    // has asked this instance to back off, and gets no requests
+	// Weight is the target's weight in the choice of homes. A target that is warming up gets
+	// requests from few instances, so each of these gives it a larger weight. 0 means 1.
 	Weight float64
-	// OutdatedFor is how long newer weights than the target's have been named; 0:
-	// it has the newest, or the request names no model.
+	// OutdatedFor is the time since weights newer than the target's were announced; 0 if it
+	// has the newest ones or the request names no model.
 	OutdatedFor time.Duration
-	// CapacityTokens is the target's memory, in tokens; 0: not known, or not a model server.
+	// CapacityTokens is the size of the target's memory; 0 if it is not known or the target
+	// is not a model server.
 	CapacityTokens int
-	// UsedTokens is what all instances' runs there keep of it, in tokens.
+	// UsedTokens is the part of the memory that the running requests of all instances occupy.
 	UsedTokens int
 }
 
-// Query is the request to place.
+// Query describes the request to place.
 type Query struct {
-	Zone                 string
-	RolloutTimeout       time.Duration // time that a rollout may take
-	ConcurrencyPenaltyMS float64       // how much each own run at a target delays another, ms
-	RequestBytes         int           // of the request
-	Rand                 func() float64
+	Zone                 string         // zone of this instance
+	RolloutTimeout       time.Duration  // time that a rollout of new weights may take
+	ConcurrencyPenaltyMS float64        // delay that each request in flight at a target adds to another one
+	RequestBytes         int            // size of the request
+	Rand                 func() float64 // uniform in [0, 1)
 	Policy               policy.Policy
 
-	// PrefixKey names the prompt's last shared part, which selects its home; "": none.
+	// PrefixKey identifies the last shared part of the prompt, which determines the home
+	// target; "" if there is none.
 	PrefixKey string
-	// StoreZone is the zone of the store that keeps this part; "": none does.
+	// StoreZone is the zone of the cache store that holds this part; "" if none does.
 	StoreZone string
-	// SharedPrefillMS is the time to read the prompt's shared parts.
+	// SharedPrefillMS is the prefill time of the prompt's shared parts.
 	SharedPrefillMS float64
-	// NeededTokens is what the request will keep of a target's memory.
+	// NeededTokens is the target memory that the request will occupy.
 	NeededTokens int
-	// Started says that some target worked on the request, or that its caller has a part of
-	// the answer: it is not refused any more.
+	// Started is true once a target has worked on the request or the caller has received a
+	// part of the response. Such a request is no longer refused for lack of memory.
 	Started bool
 }
 
-// Action is what becomes of a request.
+// Action is the outcome of a placement.
 type Action uint8
 
 // Actions.
 const (
-	Send     Action = iota
-	Refuse          // at once: every target that could take it is full
-	NoTarget        // no target may be used
+	Send     Action = iota // send the request to the target at Decision.Index
+	Refuse                 // refuse the request at once: all eligible targets are full
+	NoTarget               // no target may be used
 )
 
-// Decision is what becomes of a request, with what decided it.
+// Decision is the outcome for a request, with the counts that explain it.
 type Decision struct {
 	Action        Action
-	Index         int // of the target, if it is sent; -1 else
-	FullTargets   int // targets that could take it but for their memory
-	WarmupLimited int // targets left out since they are cold
-	// InBackoff is how many targets that could take it are left out since they ask for rest.
-	InBackoff int
-	// FreeTokens is the most that a full target has left.
-	FreeTokens int
+	Index         int // index of the selected target, or -1
+	FullTargets   int // eligible targets without enough free memory
+	WarmupLimited int // targets skipped because they are warming up
+	InBackoff     int // eligible targets skipped because they have asked for backoff
+	FreeTokens    int // largest free memory among the full targets
 }
 
-// Weights of the choice, in ms or as factors of the predicted time.
+// Penalties added to a target's score, in ms, and factors applied to it.
 const (
-	// otherZoneMS and otherZoneKBMS are what a target in another zone costs: two
-	// more milliseconds on the way, and bytes between zones, which are paid for.
-	otherZoneMS   = 4.0
-	otherZoneKBMS = 1.0
-	// linkWeight is what a millisecond of a shared link costs the others.
-	linkWeight = 1.5
-	// awayWeight times the time to read a prompt's shared parts is what it costs to send
-	// it elsewhere than to its home, where they are most likely in memory.
-	awayWeight = 1.5
-	// oldWeights is how much worse a target counts that serves an older version
-	// than the newest one named, once the rollout is under way.
-	oldWeights = 1.5
-	// fullWeight makes a full target the last resort but for resting ones.
-	fullWeight = 100.0
-	// spread shakes scores by up to this share, so that instances which see the
-	// same do not all pick the same target.
-	spread = 0.25
-	// oldGrace is how long after a version was named an older one is as good.
-	oldGrace = time.Second
-	// rolloutMargin is how long before the end of a rollout's time the last
-	// request goes to an older version.
+	// crossZonePenaltyMS and crossZonePenaltyMSPerKB penalize a target in another zone: the
+	// network adds two milliseconds, and traffic between zones is billed by the byte.
+	crossZonePenaltyMS      = 4.0
+	crossZonePenaltyMSPerKB = 1.0
+	// linkOccupancyFactor is the penalty for each millisecond that a shared link is not
+	// available to other requests.
+	linkOccupancyFactor = 1.5
+	// nonHomeFactor, times the prefill time of the shared parts, penalizes all targets but
+	// the prompt's home, where these parts are most likely cached.
+	nonHomeFactor = 1.5
+	// outdatedWeightsFactor multiplies the score of a target that serves an older version
+	// than the newest announced one, once outdatedGrace is over.
+	outdatedWeightsFactor = 1.5
+	// fullTargetFactor ranks full targets behind all others except ejected or unreachable ones.
+	fullTargetFactor = 100.0
+	// scoreJitter randomly increases scores by up to this fraction, so that instances with
+	// the same view do not all select the same target.
+	scoreJitter = 0.25
+	// outdatedGrace is the time after the announcement of a version in which an older one is
+	// not penalized.
+	outdatedGrace = time.Second
+	// rolloutMargin is the time before the end of RolloutTimeout from which no request is
+	// sent to an older version.
 	rolloutMargin = time.Second
 )
 
-// Select chooses the best target.
+// Select chooses the eligible target with the lowest score.
 //
-// A target whose memory is full gets nothing new. What is sent there all the same takes
-// the memory of runs and of cached parts, which are then read again: reading delays every
-// run, runs that last longer keep more memory, and the state outlasts its cause by tens of
-// seconds (docs/DECIDING.md). So once all targets that could take a request are full, it is
-// refused at once, which costs one answer and saves the others. A request larger than a
-// whole memory is for the target to refuse.
+// A target whose memory is full gets no new requests. A request sent there nevertheless
+// evicts running requests and cached parts, which then need another prefill. Prefill delays
+// every running request, slower requests occupy memory for longer, and this overload lasts
+// tens of seconds longer than its cause (docs/DECIDING.md). Therefore a request is refused at
+// once if all eligible targets are full: one request fails, and the others keep their pace.
+// A request larger than a target's whole memory is left to the target to refuse.
 //
-// A target that asks for rest gets nothing at all, also if there is no other: each request that
-// it turns away takes of what it needs to recover.
+// A target in backoff gets no requests, even if there is no other target: each request that
+// it turns away costs resources that it needs to recover.
 func Select(targets []Target, q Query) Decision {
 	d := Decision{Action: NoTarget, Index: -1}
 	home := -1
 	if q.Policy.Homes && q.PrefixKey != "" {
-		home = homeOf(targets, q.PrefixKey, q.StoreZone)
+		home = homeIndex(targets, q.PrefixKey, q.StoreZone)
 	}
-	low, rests := math.Inf(1), false
+	lowestScore, bestIsLastResort := math.Inf(1), false
 	for i := range targets {
 		t := &targets[i]
 		if t.WarmupLimited {
 			d.WarmupLimited++
 		}
 		if t.InBackoff {
-			if usable(t, q) {
+			if eligible(t, q) {
 				d.InBackoff++
 			}
 			continue
 		}
-		if t.Excluded || t.WarmupLimited || !usable(t, q) {
+		if t.Excluded || t.WarmupLimited || !eligible(t, q) {
 			continue
 		}
-		full := q.Policy.Admission && t.full(q)
+		full := q.Policy.Admission && t.isFullFor(q)
 		if full && !t.lastResort() {
 			d.FullTargets++
 			d.FreeTokens = max(d.FreeTokens, t.CapacityTokens-t.UsedTokens)
@@ -149,93 +151,96 @@
 		if full && !q.Started {
 			continue
 		}
-		s := score(t, q, i != home && home >= 0)
+		targetScore := score(t, q, i != home && home >= 0)
 		if full {
-			s *= fullWeight
+			targetScore *= fullTargetFactor
 		}
-		last := t.lastResort()
-		if d.Index < 0 || rests && !last || rests == last && s < low {
-			d.Action, d.Index, low, rests = Send, i, s, last
+		lastResort := t.lastResort()
+		if d.Index < 0 || bestIsLastResort && !lastResort || bestIsLastResort == lastResort && targetScore < lowestScore {
+			d.Action, d.Index, lowestScore, bestIsLastResort = Send, i, targetScore, lastResort
 		}
 	}
-	if d.FullTargets > 0 && !q.Started && (d.Index < 0 || rests) {
+	if d.FullTargets > 0 && !q.Started && (d.Index < 0 || bestIsLastResort) {
 		d.Action, d.Index = Refuse, -1
 	}
 	return d
 }
 
-// lastResort says whether the target is used only if there is no other.
+// lastResort reports whether the target is used only if there is no other.
 func (t *Target) lastResort() bool { return t.Ejected || t.ZoneUnreachable }
 
-// barred says whether the target gets nothing now, whatever the request.
-func (t *Target) barred() bool { return t.WarmupLimited || t.InBackoff }
+// unavailable reports whether this instance may send the target no request at all now.
+func (t *Target) unavailable() bool { return t.WarmupLimited || t.InBackoff }
 
-// full says whether the request would need more of the target's memory than is left.
-func (t *Target) full(q Query) bool {
+// isFullFor reports whether the request needs more memory than the target has free. A target
+// that runs no requests counts as not full: it refuses a request larger than its memory itself.
+func (t *Target) isFullFor(q Query) bool {
 	return t.CapacityTokens > 0 && t.UsedTokens > 0 && t.UsedTokens+q.NeededTokens > t.CapacityTokens
 }
 
-// usable rules out a target without the model, and at the end of a rollout's
-// time those with old weights.
-func usable(t *Target, q Query) bool {
+// eligible reports whether the target serves the request's model. Targets with outdated
+// weights are eligible until rolloutMargin before the end of the rollout.
+func eligible(t *Target, q Query) bool {
 	return !t.LacksModel && (t.OutdatedFor == 0 || t.OutdatedFor < q.RolloutTimeout-rolloutMargin)
 }
 
-// homeOf is the index of a prompt's home among the targets that serve its model: by
-// rendezvous hashing (Thaler and Ravishankar, 1998), so that instances agree without a
-// message. Where a store keeps the prompt's parts, the home is in the zone of that store, if
-// a target there is well: a fetch between zones takes twice as long and keeps the store's
-// link from others meanwhile, which is what is short in a large fleet. Returns -1 if there
-// is none.
-func homeOf(targets []Target, subject, zone string) int {
-	near := func(t Target) bool { return t.Zone == zone && !t.LacksModel && !t.barred() && !t.lastResort() }
-	anywhere := zone == "" || !slices.ContainsFunc(targets, near)
-	best, top := -1, 0.0
-	seed := xxhash.Sum64String(subject)
+// homeIndex returns the index of a prompt's home among the targets that serve its model, or
+// -1 if there is none. It uses rendezvous hashing (Thaler and Ravishankar, 1998), so that
+// instances agree without messages. If a cache store holds the prompt's parts, the home is in
+// the store's zone, provided that a healthy target is there: a fetch from another zone takes
+// twice as long and occupies the store's link, the scarce resource of a large fleet.
+func homeIndex(targets []Target, prefixKey, storeZone string) int {
+	healthyInZone := func(t Target) bool {
+		return t.Zone == storeZone && !t.LacksModel && !t.unavailable() && !t.lastResort()
+	}
+	anyZone := storeZone == "" || !slices.ContainsFunc(targets, healthyInZone)
+	best, highestRank := -1, 0.0
+	seed := xxhash.Sum64String(prefixKey)
 	for i := range targets {
-		if targets[i].LacksModel || targets[i].barred() || targets[i].ZoneUnreachable || !(anywhere || targets[i].Zone == zone) {
+		if targets[i].LacksModel || targets[i].unavailable() || targets[i].ZoneUnreachable || !(anyZone || targets[i].Zone == storeZone) {
 			continue
 		}
-		if h := pulled(mix(seed^xxhash.Sum64String(targets[i].ID)), targets[i].Weight); best < 0 || h > top {
-			best, top = i, h
+		if rank := weightedRank(splitMix64(seed^xxhash.Sum64String(targets[i].ID)), targets[i].Weight); best < 0 || rank > highestRank {
+			best, highestRank = i, rank
 		}
 	}
 	return best
 }
 
-// pulled is a target's rank for a prompt, by a hash that is even over all targets: the greatest
-// of weighted ones (Schindelhauer and Schomaker, 2005) keeps the order of the others.
-func pulled(hash uint64, pull float64) float64 {
+// weightedRank turns a uniform hash into a target's rank for a prompt, by weighted rendezvous
+// hashing (Schindelhauer and Schomaker, 2005): a change of one target's weight does not change
+// the order of the others.
+func weightedRank(hash uint64, weight float64) float64 {
 	u := (float64(hash>>11) + 0.5) / (1 << 53)
-	return -max(pull, 1) / math.Log(u)
+	return -max(weight, 1) / math.Log(u)
 }
 
-// mix is the finalizer of SplitMix64 (Steele, Lea and Flood, 2014): without it the order
-// of two xored hashes would be much the same for all subjects.
-func mix(h uint64) uint64 {
+// splitMix64 is the finalizer of SplitMix64 (Steele, Lea and Flood, 2014). Without it, XOR with
+// the prefix's hash would leave the targets in nearly the same order for all prefixes.
+func splitMix64(h uint64) uint64 {
 	h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
 	h = (h ^ h>>27) * 0x94d049bb133111eb
 	return h ^ h>>31
 }
 
-// score is the predicted time to an answer, in ms, weighted by what else the
-// choice costs.
-func score(t *Target, q Query, away bool) float64 {
+// score returns the predicted time to the first response, in ms, plus the penalties of the
+// choice. Lower is better.
+func score(t *Target, q Query, notHome bool) float64 {
 	s := math.Max(t.FirstResponseMS, 1) + q.ConcurrencyPenaltyMS*float64(t.InFlight)
 	if q.Policy.LinkWeight {
-		s += linkWeight * t.LinkOccupancyMS
+		s += linkOccupancyFactor * t.LinkOccupancyMS
 	}
-	if away {
-		s += awayWeight * q.SharedPrefillMS
+	if notHome {
+		s += nonHomeFactor * q.SharedPrefillMS
 	}
 	if t.Zone != q.Zone {
-		s += otherZoneMS + otherZoneKBMS*float64(q.RequestBytes)/1024
+		s += crossZonePenaltyMS + crossZonePenaltyMSPerKB*float64(q.RequestBytes)/1024
 	}
-	if q.Policy.OldWeights && t.OutdatedFor >= oldGrace {
-		s *= oldWeights
+	if q.Policy.OldWeights && t.OutdatedFor >= outdatedGrace {
+		s *= outdatedWeightsFactor
 	}
 	if !q.Policy.Spread {
 		return s
 	}
-	return s * (1 + spread*q.Rand())
+	return s * (1 + scoreJitter*q.Rand())
 }
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -12,7 +12,7 @@
 	"github.com/shedhoist/shedhoist/internal/core/policy"
 )
 
-// TestSelect is a table of two targets, the second of which is changed.
+// TestSelect compares two targets that differ in the properties that each case sets.
 func TestSelect(t *testing.T) {
 	query := placement.Query{Zone: "a", RolloutTimeout: 10 * time.Second, ConcurrencyPenaltyMS: 20, Rand: func() float64 { return 0.5 }, Policy: policy.Default()}
 	base := placement.Target{ID: "x", Zone: "a", FirstResponseMS: 50}
@@ -21,20 +21,20 @@
 		change func(x, y *placement.Target)
 		want   int
 	}{
-		{"fewer own requests", func(x, _ *placement.Target) { x.InFlight = 1 }, 1},
-		{"faster", func(x, _ *placement.Target) { x.FirstResponseMS = 100 }, 1},
-		{"the nearer store", func(x, _ *placement.Target) { x.LinkOccupancyMS = 50 }, 1},
-		{"own zone", func(x, _ *placement.Target) { x.Zone = "b" }, 1},
-		{"another zone rather than a queue", func(x, y *placement.Target) { x.InFlight, y.Zone = 1, "b" }, 1},
-		{"new weights", func(x, _ *placement.Target) { x.OutdatedFor = 2 * time.Second }, 1},
-		{"old weights rather than a long queue", func(x, y *placement.Target) { x.InFlight, y.OutdatedFor = 5, 2*time.Second }, 1},
-		{"old weights are as good at first", func(x, y *placement.Target) { x.InFlight, y.OutdatedFor = 1, 1 }, 1},
-		{"no old weights at the end of a rollout", func(x, y *placement.Target) { x.InFlight, y.OutdatedFor = 50, 9*time.Second }, 0},
-		{"nothing left", func(x, y *placement.Target) { x.OutdatedFor, y.OutdatedFor = time.Minute, time.Minute }, -1},
-		{"no model", func(x, _ *placement.Target) { x.LacksModel = true }, 1},
-		{"not tried", func(x, _ *placement.Target) { x.Excluded = true }, 1},
-		{"resting is the last resort", func(x, y *placement.Target) { x.Ejected, y.InFlight = true, 90 }, 1},
-		{"but better than none", func(x, y *placement.Target) { x.Ejected, y.Excluded = true, true }, 0},
+		{"fewer requests in flight", func(x, _ *placement.Target) { x.InFlight = 1 }, 1},
+		{"faster first response", func(x, _ *placement.Target) { x.FirstResponseMS = 100 }, 1},
+		{"shorter link occupancy", func(x, _ *placement.Target) { x.LinkOccupancyMS = 50 }, 1},
+		{"same zone", func(x, _ *placement.Target) { x.Zone = "b" }, 1},
+		{"another zone is better than a queue", func(x, y *placement.Target) { x.InFlight, y.Zone = 1, "b" }, 1},
+		{"newest weights", func(x, _ *placement.Target) { x.OutdatedFor = 2 * time.Second }, 1},
+		{"outdated weights are better than a long queue", func(x, y *placement.Target) { x.InFlight, y.OutdatedFor = 5, 2*time.Second }, 1},
+		{"outdated weights are not penalized at first", func(x, y *placement.Target) { x.InFlight, y.OutdatedFor = 1, 1 }, 1},
+		{"outdated weights are not eligible at the end of a rollout", func(x, y *placement.Target) { x.InFlight, y.OutdatedFor = 50, 9*time.Second }, 0},
+		{"no eligible target", func(x, y *placement.Target) { x.OutdatedFor, y.OutdatedFor = time.Minute, time.Minute }, -1},
+		{"lacks the model", func(x, _ *placement.Target) { x.LacksModel = true }, 1},
+		{"already tried", func(x, _ *placement.Target) { x.Excluded = true }, 1},
+		{"an ejected target is the last resort", func(x, y *placement.Target) { x.Ejected, y.InFlight = true, 90 }, 1},
+		{"an ejected target is better than none", func(x, y *placement.Target) { x.Ejected, y.Excluded = true, true }, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -46,9 +46,9 @@
 	}
 }
 
-// TestFull: a target whose memory is full gets nothing new. A request that all would have
-// to squeeze in is refused, unless some target has worked on it before, and never for the
-// sake of targets that rest, behind or elsewhere.
+// TestFull checks that a target with full memory gets no new requests, and that a request is
+// refused if all eligible targets are full, unless a target has already worked on it. Ejected
+// targets neither cause nor prevent a refusal.
 func TestFull(t *testing.T) {
 	query := placement.Query{Zone: "a", RolloutTimeout: 10 * time.Second, NeededTokens: 3000, Rand: func() float64 { return 0.5 }, Policy: policy.Default()}
 	base := placement.Target{Zone: "a", FirstResponseMS: 50, CapacityTokens: 10_000, UsedTokens: 8000}
@@ -59,19 +59,19 @@
 		index  int
 	}{
 		{"all are full", func(x, y *placement.Target, q *placement.Query) {}, placement.Refuse, -1},
-		{"one has room, though it is slower", func(x, y *placement.Target, q *placement.Query) { y.UsedTokens, y.FirstResponseMS = 7000, 900 }, placement.Send, 1},
-		{"a small request finds room", func(x, y *placement.Target, q *placement.Query) { q.NeededTokens = 2000 }, placement.Send, 0},
-		{"some target worked on it", func(x, y *placement.Target, q *placement.Query) { q.Started, x.FirstResponseMS = true, 60 }, placement.Send, 1},
-		{"one that has room goes before a full one", func(x, y *placement.Target, q *placement.Query) {
+		{"one has free memory, though it is slower", func(x, y *placement.Target, q *placement.Query) { y.UsedTokens, y.FirstResponseMS = 7000, 900 }, placement.Send, 1},
+		{"a small request fits", func(x, y *placement.Target, q *placement.Query) { q.NeededTokens = 2000 }, placement.Send, 0},
+		{"a target has worked on the request", func(x, y *placement.Target, q *placement.Query) { q.Started, x.FirstResponseMS = true, 60 }, placement.Send, 1},
+		{"free memory goes before a full target", func(x, y *placement.Target, q *placement.Query) {
 			q.Started, y.UsedTokens, y.FirstResponseMS = true, 0, 900
 		}, placement.Send, 1},
-		{"larger than a whole memory", func(x, y *placement.Target, q *placement.Query) { x.UsedTokens, q.NeededTokens = 0, 11_000 }, placement.Send, 0},
-		{"memory not known", func(x, y *placement.Target, q *placement.Query) { x.CapacityTokens = 0 }, placement.Send, 0},
-		{"the one with room rests", func(x, y *placement.Target, q *placement.Query) { y.UsedTokens, y.Ejected = 0, true }, placement.Refuse, -1},
-		{"all rest", func(x, y *placement.Target, q *placement.Query) { x.Ejected, y.Ejected, y.UsedTokens = true, true, 0 }, placement.Send, 1},
-		{"the other serves no such model", func(x, y *placement.Target, q *placement.Query) { y.LacksModel = true }, placement.Refuse, -1},
-		{"the full one was tried", func(x, y *placement.Target, q *placement.Query) { x.Excluded, y.LacksModel = true, true }, placement.NoTarget, -1},
-		{"switched off", func(x, y *placement.Target, q *placement.Query) { q.Policy.Admission = false }, placement.Send, 0},
+		{"larger than the whole memory", func(x, y *placement.Target, q *placement.Query) { x.UsedTokens, q.NeededTokens = 0, 11_000 }, placement.Send, 0},
+		{"memory size not known", func(x, y *placement.Target, q *placement.Query) { x.CapacityTokens = 0 }, placement.Send, 0},
+		{"the target with free memory is ejected", func(x, y *placement.Target, q *placement.Query) { y.UsedTokens, y.Ejected = 0, true }, placement.Refuse, -1},
+		{"all are ejected", func(x, y *placement.Target, q *placement.Query) { x.Ejected, y.Ejected, y.UsedTokens = true, true, 0 }, placement.Send, 1},
+		{"the other target lacks the model", func(x, y *placement.Target, q *placement.Query) { y.LacksModel = true }, placement.Refuse, -1},
+		{"the full target was tried", func(x, y *placement.Target, q *placement.Query) { x.Excluded, y.LacksModel = true, true }, placement.NoTarget, -1},
+		{"admission is switched off", func(x, y *placement.Target, q *placement.Query) { q.Policy.Admission = false }, placement.Send, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -90,9 +90,9 @@
 	}
 }
 
-// TestHomes: each subject has one home, which follows from the names alone whatever the
-// order; homes are spread over the targets; the loss of one moves only its own subjects;
-// a home that is much busier than another target passes work on.
+// TestHomes checks that a prompt's home does not depend on the order of the targets, that homes
+// are spread evenly, that the loss of a target moves only its own prompts, and that a prompt
+// goes elsewhere if its home is much busier than another target.
 func TestHomes(t *testing.T) {
 	is := is.New(t)
 	query := placement.Query{Zone: "a", RolloutTimeout: 10 * time.Second, SharedPrefillMS: 100, Rand: func() float64 { return 0 }, Policy: policy.Default()}
@@ -100,20 +100,20 @@
 	for i := range 10 {
 		all = append(all, placement.Target{ID: fmt.Sprint("t", i), Zone: "a", FirstResponseMS: 50})
 	}
-	home := func(targets []placement.Target, subject int) string {
+	home := func(targets []placement.Target, prefix int) string {
 		q := query
-		q.PrefixKey = fmt.Sprint("s", subject)
+		q.PrefixKey = fmt.Sprint("s", prefix)
 		return targets[placement.Select(targets, q).Index].ID
 	}
 	count := map[string]int{}
 	moved := 0
 	for s := range 1000 {
-		at := home(all, s)
-		count[at]++
+		homeID := home(all, s)
+		count[homeID]++
 		reversed := slices.Clone(all)
 		slices.Reverse(reversed)
-		is.Equal(home(reversed, s), at)
-		if left := home(all[1:], s); at != all[0].ID && left != at {
+		is.Equal(home(reversed, s), homeID)
+		if homeNow := home(all[1:], s); homeID != all[0].ID && homeNow != homeID {
 			moved++
 		}
 	}
@@ -130,9 +130,9 @@
 	is.True(home(busy, 1) != home(all, 1))
 }
 
-// TestHomeZone: a prompt that a store keeps has its home in that store's zone, whatever the
-// zone of the instance, as long as a target there is well.
-func TestHomeZone(t *testing.T) {
+// TestHomeInStoreZone checks that the home of a prompt whose parts are in a cache store is in
+// that store's zone, whatever the instance's zone, as long as a healthy target is there.
+func TestHomeInStoreZone(t *testing.T) {
 	is := is.New(t)
 	query := placement.Query{Zone: "a", StoreZone: "b", RolloutTimeout: 10 * time.Second, SharedPrefillMS: 100, Rand: func() float64 { return 0 }, Policy: policy.Default()}
 	var all []placement.Target
--- a/internal/core/placement/predict.go
+++ b/internal/core/placement/predict.go
@@ -5,195 +5,196 @@
 	"time"
 )
 
-// PrefillWork is what one request asks of a target before its first answer.
+// PrefillWork is the work that a target does for a request before its first response.
 type PrefillWork struct {
-	PrefillTokens int // prompt tokens that the target must read
-	// QueuedTokens are those of other requests that it must read before.
-	QueuedTokens int
-	FetchMS      float64 // nominal time to fetch the rest, by link speed alone; 0: nothing is fetched
-	Link         string  // where it is fetched from
-}
-
-// Predictor predicts the time to a request's first answer. It knows nominal
-// times only, and corrects them by what is seen: the speed of reading, and for
-// each target and each link how much longer than predicted it takes of late.
-// Requests that are overdue count before they are answered. It is not safe for
-// concurrent use.
+	PrefillTokens int     // prompt tokens to prefill
+	QueuedTokens  int     // tokens of other requests to prefill before
+	FetchMS       float64 // nominal time to fetch cached parts at the link's full speed; 0: nothing is fetched
+	Link          string  // source of the fetch
+}
+
+// Predictor predicts the time to the first response of a request. It learns the prefill speed
+// and, for each target and each link, the recent delay beyond the nominal time. A request that
+// is overdue raises the delay before its response arrives. It is not safe for concurrent use.
 type Predictor struct {
-	readMS  float64 // ms to read one prompt token on an idle target
-	targets map[string]*delay
-	links   map[string]*delay
-	waiting waiting // by target
-	fetches waiting // those that fetch, by link
+	prefillMSPerToken float64 // on an idle target
+	targetDelays      map[string]*delayEstimate
+	linkDelays        map[string]*delayEstimate
+	pendingByTarget   pendingRequests
+	pendingByLink     pendingRequests // requests with a fetch only
 }
 
-// waiting is the requests that wait for their first answer, by what they wait for.
-type waiting map[string]map[*PendingRequest]struct{}
+// pendingRequests are the requests without a response so far, by target or link.
+type pendingRequests map[string]map[*PendingRequest]struct{}
 
-func (w waiting) add(name string, t *PendingRequest) {
-	if w[name] == nil {
-		w[name] = map[*PendingRequest]struct{}{}
+func (m pendingRequests) add(name string, r *PendingRequest) {
+	if m[name] == nil {
+		m[name] = map[*PendingRequest]struct{}{}
 	}
-	w[name][t] = struct{}{}
+	m[name][r] = struct{}{}
 }
 
-func (w waiting) drop(name string, t *PendingRequest) {
-	delete(w[name], t)
-	if len(w[name]) == 0 {
-		delete(w, name)
+func (m pendingRequests) remove(name string, r *PendingRequest) {
+	delete(m[name], r)
+	if len(m[name]) == 0 {
+		delete(m, name)
 	}
 }
 
-// delay is how much longer than nominal something takes, ms.
-type delay struct {
-	ms float64
-	at time.Time
+// delayEstimate is an estimated delay beyond the nominal time, which decays over time.
+type delayEstimate struct {
+	ms        float64
+	updatedAt time.Time
 }
 
-// PendingRequest is a request that waits for its first answer.
+// PendingRequest is a request that waits for its first response.
 type PendingRequest struct {
-	target    string
-	work      PrefillWork
-	began     time.Time
-	predicted float64 // ms
+	target      string
+	work        PrefillWork
+	startedAt   time.Time
+	predictedMS float64
 }
 
-// Constants of learning.
+// Constants of the estimates.
 const (
-	// firstReadMS is the speed of reading assumed before anything was seen.
-	firstReadMS = 0.02
-	// readDown and readUp make the speed follow the fastest twentieth of what is
-	// seen: the rest waited in a queue.
-	readDown = 0.2
-	readUp   = 0.01
-	// leastRead is the smallest prompt that says anything about that speed, tokens.
-	leastRead = 1000
-	// distrust and trust are the gains of a delay that grows and that shrinks: a
-	// slow target or link is left fast and believed again slowly.
-	distrust = 0.35
-	trust    = 0.12
-	// delayHalfLife is how fast a delay is forgotten that nothing confirms.
+	// initialPrefillMSPerToken is the prefill speed assumed before the first observation.
+	initialPrefillMSPerToken = 0.02
+	// prefillGainDown and prefillGainUp are the gains for samples below and above the estimate.
+	// Their ratio makes it follow the fastest twentieth of the samples: the others include
+	// time in a queue.
+	prefillGainDown = 0.2
+	prefillGainUp   = 0.01
+	// minPrefillSample is the size of the smallest prompt used to learn the prefill speed, in
+	// tokens: a shorter one says nothing about it.
+	minPrefillSample = 1000
+	// delayGainUp and delayGainDown are the gains for a growing and a shrinking delay. A slow
+	// target or link loses requests quickly and regains them slowly.
+	delayGainUp   = 0.35
+	delayGainDown = 0.12
+	// delayHalfLife is the half-life of a delay without new observations.
 	delayHalfLife = 3 * time.Second
-	// linkPart is the part of a surprise that is put down to the link, if one was
-	// used; the rest is the target's.
-	linkPart = 0.6
+	// linkErrorShare is the part of a prediction error that is attributed to the link, if the
+	// request used one; the rest is attributed to the target.
+	linkErrorShare = 0.6
 )
 
-// NewPredictor returns a predictor that has seen nothing.
+// NewPredictor returns a predictor without observations.
 func NewPredictor() *Predictor {
-	return &Predictor{readMS: firstReadMS, targets: map[string]*delay{}, links: map[string]*delay{}, waiting: waiting{}, fetches: waiting{}}
+	return &Predictor{prefillMSPerToken: initialPrefillMSPerToken, targetDelays: map[string]*delayEstimate{}, linkDelays: map[string]*delayEstimate{}, pendingByTarget: pendingRequests{}, pendingByLink: pendingRequests{}}
 }
 
-// now is a delay's value at a time.
-func (d *delay) now(at time.Time) float64 {
+// decayed returns the delay in ms at a point in time. A nil estimate is 0.
+func (d *delayEstimate) decayed(now time.Time) float64 {
 	if d == nil {
 		return 0
 	}
-	return d.ms * math.Exp2(-float64(at.Sub(d.at))/float64(delayHalfLife))
+	return d.ms * math.Exp2(-float64(now.Sub(d.updatedAt))/float64(delayHalfLife))
 }
 
-// TargetDelay is the delay expected at a target.
+// TargetDelay returns the delay expected at a target beyond the nominal time, in ms.
 func (p *Predictor) TargetDelay(id string, now time.Time) float64 {
-	out := p.targets[id].now(now)
-	for t := range p.waiting[id] {
-		out = math.Max(out, t.overdue(now)*t.targetPart())
+	delayMS := p.targetDelays[id].decayed(now)
+	for r := range p.pendingByTarget[id] {
+		delayMS = math.Max(delayMS, r.overdueMS(now)*r.targetErrorShare())
 	}
-	return out
+	return delayMS
 }
 
-// overdue is how much longer than predicted a request has waited, ms.
-func (t *PendingRequest) overdue(now time.Time) float64 {
-	return float64(now.Sub(t.began))/float64(time.Millisecond) - t.predicted
+// overdueMS returns by how much the request's wait exceeds the prediction; it is negative
+// before the predicted time.
+func (r *PendingRequest) overdueMS(now time.Time) float64 {
+	return float64(now.Sub(r.startedAt))/float64(time.Millisecond) - r.predictedMS
 }
 
-// targetPart is the part of a surprise that is put down to the target.
-func (t *PendingRequest) targetPart() float64 {
-	if t.work.FetchMS > 0 {
-		return 1 - linkPart
+// targetErrorShare returns the part of a prediction error that is attributed to the target.
+func (r *PendingRequest) targetErrorShare() float64 {
+	if r.work.FetchMS > 0 {
+		return 1 - linkErrorShare
 	}
 	return 1
 }
 
-// FetchTime is the time expected for a fetch.
+// FetchTime returns the time expected for a request's fetch, in ms.
 func (p *Predictor) FetchTime(w PrefillWork, now time.Time) float64 {
 	if w.FetchMS <= 0 {
 		return 0
 	}
-	late := p.links[w.Link].now(now)
-	for t := range p.fetches[w.Link] {
-		late = math.Max(late, t.overdue(now)*linkPart)
+	delayMS := p.linkDelays[w.Link].decayed(now)
+	for r := range p.pendingByLink[w.Link] {
+		delayMS = math.Max(delayMS, r.overdueMS(now)*linkErrorShare)
 	}
-	return w.FetchMS + late
+	return w.FetchMS + delayMS
 }
 
-// PrefillTime is the time expected for reading tokens on an idle target.
-func (p *Predictor) PrefillTime(tokens int) float64 { return float64(tokens) * p.readMS }
+// PrefillTime returns the time expected for the prefill of tokens on an idle target, in ms.
+func (p *Predictor) PrefillTime(tokens int) float64 { return float64(tokens) * p.prefillMSPerToken }
 
-// FirstResponseTime is the time expected from sending a request until its first answer.
+// FirstResponseTime returns the time expected from sending a request to its first response, in ms.
 func (p *Predictor) FirstResponseTime(id string, w PrefillWork, now time.Time) float64 {
 	return p.TargetDelay(id, now) + p.FetchTime(w, now) + p.PrefillTime(w.PrefillTokens+w.QueuedTokens)
 }
 
-// NominalTime is First for a target and a link that are as fast as they should be.
+// NominalTime returns FirstResponseTime for a target and a link without delay, in ms.
 func (p *Predictor) NominalTime(w PrefillWork) float64 {
 	return w.FetchMS + p.PrefillTime(w.PrefillTokens+w.QueuedTokens)
 }
 
-// Start notes a request that is sent now.
+// Start records a request that is sent now. Observe or Remove must follow.
 func (p *Predictor) Start(id string, w PrefillWork, now time.Time) *PendingRequest {
-	t := &PendingRequest{target: id, work: w, began: now, predicted: p.FirstResponseTime(id, w, now)}
-	p.waiting.add(id, t)
+	r := &PendingRequest{target: id, work: w, startedAt: now, predictedMS: p.FirstResponseTime(id, w, now)}
+	p.pendingByTarget.add(id, r)
 	if w.FetchMS > 0 {
-		p.fetches.add(w.Link, t)
+		p.pendingByLink.add(w.Link, r)
 	}
-	return t
+	return r
 }
 
-// Remove forgets a request that ended without an answer, or was answered.
-func (p *Predictor) Remove(t *PendingRequest) {
-	p.waiting.drop(t.target, t)
-	p.fetches.drop(t.work.Link, t)
+// Remove drops a request that ended without a response, or whose response was observed.
+func (p *Predictor) Remove(r *PendingRequest) {
+	p.pendingByTarget.remove(r.target, r)
+	p.pendingByLink.remove(r.work.Link, r)
 }
 
-// Observe takes a request's first answer, and returns how much of the time it
-// took was not predicted, ms.
-func (p *Predictor) Observe(t *PendingRequest, now time.Time) (surprise float64) {
-	p.Remove(t)
-	w, id := t.work, t.target
-	surprise = t.overdue(now)
-	ms := surprise + t.predicted
-	if w.PrefillTokens >= leastRead && w.FetchMS <= 0 && w.QueuedTokens == 0 {
-		p.learnRead(ms / float64(w.PrefillTokens))
+// Observe updates the estimates with a request's first response, and returns the prediction
+// error in ms: positive if the response took longer than predicted.
+func (p *Predictor) Observe(r *PendingRequest, now time.Time) (errorMS float64) {
+	p.Remove(r)
+	w, id := r.work, r.target
+	errorMS = r.overdueMS(now)
+	elapsedMS := errorMS + r.predictedMS
+	if w.PrefillTokens >= minPrefillSample && w.FetchMS <= 0 && w.QueuedTokens == 0 {
+		p.updatePrefillSpeed(elapsedMS / float64(w.PrefillTokens))
 	}
 	if w.FetchMS > 0 {
-		p.links[w.Link] = p.links[w.Link].after(surprise*linkPart, now)
+		p.linkDelays[w.Link] = p.linkDelays[w.Link].corrected(errorMS*linkErrorShare, now)
 	}
-	p.targets[id] = p.targets[id].after(surprise*t.targetPart(), now)
-	return surprise
+	p.targetDelays[id] = p.targetDelays[id].corrected(errorMS*r.targetErrorShare(), now)
+	return errorMS
 }
 
-func (p *Predictor) learnRead(msPerToken float64) {
-	gain := readUp
-	if msPerToken < p.readMS {
-		gain = readDown
+// updatePrefillSpeed moves the prefill speed towards a sample.
+func (p *Predictor) updatePrefillSpeed(msPerToken float64) {
+	gain := prefillGainUp
+	if msPerToken < p.prefillMSPerToken {
+		gain = prefillGainDown
 	}
-	p.readMS += gain * (msPerToken - p.readMS)
+	p.prefillMSPerToken += gain * (msPerToken - p.prefillMSPerToken)
 }
 
-// after is a delay corrected by a surprise. It never falls below none.
-func (d *delay) after(surprise float64, now time.Time) *delay {
-	gain := trust
-	if surprise > 0 {
-		gain = distrust
+// corrected returns the delay updated by a prediction error. It is never negative.
+func (d *delayEstimate) corrected(errorMS float64, now time.Time) *delayEstimate {
+	gain := delayGainDown
+	if errorMS > 0 {
+		gain = delayGainUp
 	}
-	return &delay{ms: math.Max(d.now(now)+gain*surprise, 0), at: now}
+	return &delayEstimate{ms: math.Max(d.decayed(now)+gain*errorMS, 0), updatedAt: now}
 }
 
-// Retain forgets the targets and links that keep does not name.
-func (p *Predictor) Retain(keep func(name string) bool) {
-	for _, m := range [...]map[string]*delay{p.targets, p.links} {
+// Retain removes the delays of all targets and links that are not known.
+func (p *Predictor) Retain(known func(name string) bool) {
+	for _, m := range [...]map[string]*delayEstimate{p.targetDelays, p.linkDelays} {
 		for name := range m {
-			if !keep(name) {
+			if !known(name) {
 				delete(m, name)
 			}
 		}
