--- a/internal/core/warmup/warmup.go
+++ b/internal/core/warmup/warmup.go
@@ -1,11 +1,12 @@
-// Package cold keeps the requests that reach a cold target within what it bears, summed over
-// all instances, without a message among them: of the instances that it knows, each works
-// out which may send to the target, and each of these uses a part of what is allowed. It is
-// pure.
+// Package warmup limits the requests that all instances together send to a target that is
+// warming up, without messages between the instances. Each instance computes from the
+// instances that it knows which of them are senders for the target. Each sender uses a fixed
+// quota of the target's limit. The package does no I/O and reads no clock.
 //
-// Invariant: no more than Share.Quota requests of one instance reach a target in any second.
-// Those of the chosen ones add up to usedShare of the limit. The rest is for instances that
-// take themselves to be chosen as well, since they do not know all others.
+// Invariant: at most Allocation.Quota requests of one instance reach a target in any second.
+// The quotas of the senders add up to at most allocatedFraction of the limit. The rest is a
+// reserve for instances that wrongly compute that they are senders, because they do not know
+// all other instances.
 package warmup
 
 import (
@@ -18,108 +19,112 @@
 )
 
 const (
-	// usedShare is the part of the limit that the chosen instances may use together.
-	usedShare = 0.6
-	// mostQuota bounds what one instance sends: it may wrongly know of no other.
-	mostQuota = 4
-	// window is the time in which requests are counted, and a little more: what was written may
-	// wait for the link.
-	window = time.Second + 20*time.Millisecond
+	// allocatedFraction is the part of the limit that is divided among the senders.
+	allocatedFraction = 0.6
+	// maxQuota bounds the quota of an instance that knows too few others, or none.
+	maxQuota = 4
+	// slotHold is the time for which a request occupies its slot after it was written: the
+	// second over which requests are counted, and a margin for bytes that wait for the link.
+	slotHold = time.Second + 20*time.Millisecond
 )
 
-// Allocation is how what a target bears is divided.
+// Allocation divides a target's limit among instances.
 type Allocation struct {
-	Senders int // instances that may send to it
-	Quota   int // requests that each may send in a second
+	Senders int // number of instances that may send to the target
+	Quota   int // requests per second of each sender
 }
 
-// Allocate divides a limit, in requests a second, among so many instances: to as many as
-// possible, so that what one takes wrongly is little, and callers of most can use the target.
+// Allocate divides a limit, in requests per second, among a number of instances. It makes as
+// many of them senders as possible: then each quota is small, which bounds the excess of an
+// instance that is wrongly a sender, and most callers can reach the target.
 func Allocate(limit float64, instances int) Allocation {
-	used := int(math.Floor(limit * usedShare))
-	s := Allocation{Senders: min(used, max(instances, 1))}
-	if s.Senders > 0 {
-		s.Quota = min(used/s.Senders, mostQuota)
+	budget := int(math.Floor(limit * allocatedFraction))
+	a := Allocation{Senders: min(budget, max(instances, 1))}
+	if a.Senders > 0 {
+		a.Quota = min(budget/a.Senders, maxQuota)
 	}
-	return s
+	return a
 }
 
-// Weight is how many times more than an instance that is not chosen a chosen one must send to the
-// target, for it to get as much as others do.
-func (s Allocation) Weight(instances int) float64 {
-	return float64(max(instances, 1)) / float64(max(s.Senders, 1))
+// Weight returns the factor by which a sender must raise its share of requests to the target,
+// so that the target gets as many requests as if all instances were sending to it.
+func (a Allocation) Weight(instances int) float64 {
+	return float64(max(instances, 1)) / float64(max(a.Senders, 1))
 }
 
-// IsSender says whether an instance is among those that may send to a target while it is cold:
-// the first of all that are known by rendezvous hashing. Instances that know more, or fewer,
-// choose nearly the same ones.
-func (s Allocation) IsSender(target, self string, known []string) bool {
-	return rendezvous.Rank(known, self, target) < s.Senders
+// IsSender reports whether an instance is a sender for a target: one of the first of the known
+// instances by rendezvous hashing. Instances with different views compute nearly the same
+// senders.
+func (a Allocation) IsSender(target, self string, known []string) bool {
+	return rendezvous.Rank(known, self, target) < a.Senders
 }
 
-// Limiter counts what one instance sends to cold targets. The zero value is ready. It is safe
-// for use by several goroutines.
+// Limiter counts the requests that one instance sends to targets in warm-up. The zero value is
+// ready for use. It is safe for concurrent use.
 type Limiter struct {
-	mu sync.Mutex
-	m  map[string]*slots // by target
+	mu       sync.Mutex
+	byTarget map[string]*slots
 }
 
-// slots are the places of a target: one is taken by a request until a second after it was
-// written. Another one that is written later is in no second that both were sent and came in.
+// slots are the occupied slots of a target. A request occupies one until slotHold after it was
+// written. A request that gets the slot afterwards cannot be sent and arrive within the same
+// second as the previous one.
 type slots struct {
-	underWay int
-	freeAt   []time.Time
+	inFlight  int
+	releaseAt []time.Time
 }
 
+// taken returns the number of occupied slots.
 func (s *slots) taken(now time.Time) int {
-	s.freeAt = slices.DeleteFunc(s.freeAt, func(at time.Time) bool { return !now.Before(at) })
-	return s.underWay + len(s.freeAt)
+	s.releaseAt = slices.DeleteFunc(s.releaseAt, func(at time.Time) bool { return !now.Before(at) })
+	return s.inFlight + len(s.releaseAt)
 }
 
-// Available says whether one more request may be sent to a target.
-func (g *Limiter) Available(target string, quota int, now time.Time) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	s := g.m[target]
+// Available reports whether one more request may be sent to a target.
+func (l *Limiter) Available(target string, quota int, now time.Time) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	s := l.byTarget[target]
 	return quota > 0 && (s == nil || s.taken(now) < quota)
 }
 
-// Acquire takes a place for a request that is sent now; false if there is none. Done must
-// follow.
-func (g *Limiter) Acquire(target string, quota int, now time.Time) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.m == nil {
-		g.m = map[string]*slots{}
+// Acquire takes a slot for a request that is sent now, and reports whether one was free. If it
+// returns true, Release must follow.
+func (l *Limiter) Acquire(target string, quota int, now time.Time) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.byTarget == nil {
+		l.byTarget = map[string]*slots{}
 	}
-	s := g.m[target]
+	s := l.byTarget[target]
 	if s == nil {
 		s = &slots{}
-		g.m[target] = s
+		l.byTarget[target] = s
 	}
 	if s.taken(now) >= quota {
 		return false
 	}
-	s.underWay++
+	s.inFlight++
 	return true
 }
 
-// Release says that the request was written, or never will be.
-func (g *Limiter) Release(target string, now time.Time) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	s := g.m[target]
-	s.underWay--
-	s.freeAt = append(s.freeAt, now.Add(window))
+// Release is called once the request has been written, or will not be written. The slot is
+// free after slotHold.
+func (l *Limiter) Release(target string, now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	s := l.byTarget[target]
+	s.inFlight--
+	s.releaseAt = append(s.releaseAt, now.Add(slotHold))
 }
 
-// Retain forgets all targets but those that keep names, and those with requests under way.
-func (g *Limiter) Retain(keep func(target string) bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for name, s := range g.m {
-		if s.underWay == 0 && !keep(name) {
-			delete(g.m, name)
+// Retain drops all targets that are not known and have no requests in flight.
+func (l *Limiter) Retain(known func(target string) bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for name, s := range l.byTarget {
+		if s.inFlight == 0 && !known(name) {
+			delete(l.byTarget, name)
 		}
 	}
 }
