--- a/internal/core/zonehealth/zonehealth.go
+++ b/internal/core/zonehealth/zonehealth.go
@@ -1,9 +1,10 @@
-// Package dark holds what is believed of zones that fall silent as a whole. One silent connect
-// raises a question, which a few connects to other targets of the zone answer; what they show
-// holds until a connect is accepted there again. It is pure.
+// Package zonehealth tracks which zones are unreachable as a whole. A connection attempt that
+// times out triggers a probe: a few connection attempts to other targets of the zone. If none
+// succeeds, the zone is unreachable until a connection is accepted there again. The package
+// does no I/O and reads no clock.
 //
-// Invariant: a zone is dark only by connects of this instance, whatever others tell: where an
-// instance sees a zone, it uses it.
+// Invariant: only connection attempts of this instance mark a zone as unreachable, not reports
+// of peers, so that an instance keeps using a zone that it can reach.
 package zonehealth
 
 import (
@@ -11,67 +12,70 @@
 	"time"
 )
 
-// Times of looking.
 const (
-	// lookGap is the least time between two looks at a zone that is not dark: silence of one
-	// target, or a lossy link, raises the question again and again.
-	lookGap = time.Second
+	// minProbeInterval is the minimum time between the starts of two probes of a reachable
+	// zone: a single unresponsive target, or a lossy link, triggers probes again and again.
+	minProbeInterval = time.Second
 )
 
-// zone is what is believed of one.
-type zone struct {
-	looking bool
-	looked  time.Time // when the last look began
-	dark    bool
+// zoneState is the state of one zone.
+type zoneState struct {
+	probing     bool
+	lastProbe   time.Time // start of the last probe
+	unreachable bool
 }
 
-// Tracker are the zones. The zero value knows of none. It is safe for use by several goroutines.
+// Tracker holds the state of all zones. Its zero value takes every zone as reachable. It is
+// safe for concurrent use.
 type Tracker struct {
-	mu sync.Mutex
-	m  map[string]*zone
+	mu    sync.Mutex
+	zones map[string]*zoneState
 }
 
-func (z *Tracker) of(name string) *zone {
-	if z.m == nil {
-		z.m = map[string]*zone{}
+// stateOf returns a zone's state, and adds it if there is none. The caller holds the lock.
+func (t *Tracker) stateOf(name string) *zoneState {
+	if t.zones == nil {
+		t.zones = map[string]*zoneState{}
 	}
-	if z.m[name] == nil {
-		z.m[name] = &zone{}
+	if t.zones[name] == nil {
+		t.zones[name] = &zoneState{}
 	}
-	return z.m[name]
+	return t.zones[name]
 }
 
-// BeginProbe says whether the caller shall look at a zone now. Looked must follow then.
-func (z *Tracker) BeginProbe(name string, now time.Time) bool {
-	z.mu.Lock()
-	defer z.mu.Unlock()
-	one := z.of(name)
-	if one.looking || one.dark || now.Sub(one.looked) < lookGap {
+// BeginProbe reports whether the caller shall probe a zone now. If it returns true, EndProbe
+// must follow.
+func (t *Tracker) BeginProbe(name string, now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	zone := t.stateOf(name)
+	if zone.probing || zone.unreachable || now.Sub(zone.lastProbe) < minProbeInterval {
 		return false
 	}
-	one.looking, one.looked = true, now
+	zone.probing, zone.lastProbe = true, now
 	return true
 }
 
-// EndProbe takes what a look showed: whether anything answered. It says whether the belief
-// changed.
-func (z *Tracker) EndProbe(name string, answers bool) bool {
-	z.mu.Lock()
-	defer z.mu.Unlock()
-	one := z.of(name)
-	one.looking = false
-	changed := one.dark == answers
-	one.dark = !answers
+// EndProbe records the result of a probe: whether any target answered. It reports whether the
+// zone's state changed.
+func (t *Tracker) EndProbe(name string, answered bool) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	zone := t.stateOf(name)
+	zone.probing = false
+	changed := zone.unreachable == answered
+	zone.unreachable = !answered
 	return changed
 }
 
-// Unreachable names the zones that are dark. The common answer is none.
-func (z *Tracker) Unreachable() map[string]bool {
-	z.mu.Lock()
-	defer z.mu.Unlock()
+// Unreachable returns the names of the unreachable zones: nil, without an allocation, in the
+// common case that there are none.
+func (t *Tracker) Unreachable() map[string]bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var out map[string]bool
-	for name, one := range z.m {
-		if !one.dark {
+	for name, zone := range t.zones {
+		if !zone.unreachable {
 			continue
 		}
 		if out == nil {
--- a/internal/core/zonehealth/zonehealth_test.go
+++ b/internal/core/zonehealth/zonehealth_test.go
@@ -9,31 +9,32 @@
 	"github.com/shedhoist/shedhoist/internal/core/zonehealth"
 )
 
-// TestOneLook: however often silence is met, one look is under way at a time, and none follows
-// at once on another that found the zone well.
-func TestOneLook(t *testing.T) {
+// TestOneProbeAtATime checks that only one probe of a zone runs at a time, however many
+// connection attempts time out, and that the next one waits for minProbeInterval after a
+// probe that found the zone reachable.
+func TestOneProbeAtATime(t *testing.T) {
 	is := is.New(t)
-	var z zonehealth.Tracker
+	var tracker zonehealth.Tracker
 	now := time.Unix(1000, 0)
-	is.True(z.BeginProbe("a", now))
-	is.True(!z.BeginProbe("a", now))
-	is.True(z.BeginProbe("b", now)) // another zone is another question
-	is.True(!z.EndProbe("a", true))
-	is.True(!z.BeginProbe("a", now.Add(900*time.Millisecond)))
-	is.True(z.BeginProbe("a", now.Add(time.Second)))
+	is.True(tracker.BeginProbe("a", now))
+	is.True(!tracker.BeginProbe("a", now))
+	is.True(tracker.BeginProbe("b", now)) // zones are probed independently
+	is.True(!tracker.EndProbe("a", true))
+	is.True(!tracker.BeginProbe("a", now.Add(900*time.Millisecond)))
+	is.True(tracker.BeginProbe("a", now.Add(time.Second)))
 }
 
-// TestDarkUntilItAnswers: a zone is dark until something answers there.
-func TestDarkUntilItAnswers(t *testing.T) {
+// TestUnreachableUntilAnswer checks that a zone stays unreachable until a target there answers.
+func TestUnreachableUntilAnswer(t *testing.T) {
 	is := is.New(t)
-	var z zonehealth.Tracker
+	var tracker zonehealth.Tracker
 	now := time.Unix(1000, 0)
-	is.Equal(z.Unreachable(), nil)
-	is.True(z.BeginProbe("a", now))
-	is.True(z.EndProbe("a", false))
-	is.Equal(z.Unreachable(), map[string]bool{"a": true})
-	is.True(!z.BeginProbe("a", now.Add(time.Hour))) // whoever found it dark looks on
-	is.True(z.EndProbe("a", true))
-	is.Equal(z.Unreachable(), nil)
-	is.True(z.BeginProbe("a", now.Add(time.Hour)))
+	is.Equal(tracker.Unreachable(), nil)
+	is.True(tracker.BeginProbe("a", now))
+	is.True(tracker.EndProbe("a", false))
+	is.Equal(tracker.Unreachable(), map[string]bool{"a": true})
+	is.True(!tracker.BeginProbe("a", now.Add(time.Hour))) // the caller that found it unreachable keeps probing it
+	is.True(tracker.EndProbe("a", true))
+	is.Equal(tracker.Unreachable(), nil)
+	is.True(tracker.BeginProbe("a", now.Add(time.Hour)))
 }
