--- a/internal/core/staleness/staleness.go
+++ b/internal/core/staleness/staleness.go
@@ -1,8 +1,10 @@
-// Package fresh says how long ago an instance's copy of each kind of object was known to be
-// complete, whether it asked the object store itself or goes by what others tell. It is pure.
+// Package staleness tracks the age of an instance's copies of shared objects: the time since
+// each copy was known to be complete, by a request to the object store or by reports of peers.
+// The package does no I/O and reads no clock.
 //
-// Invariant: a Book calls a copy complete as of a moment only if the object store was asked
-// at that moment or later, by this instance or another, and had no change that the copy lacks.
+// Invariant: a Tracker takes a copy as complete at a point in time only if this instance or
+// another one sent a request to the object store at that time or later, and the store had no
+// change that the copy lacks.
 package staleness
 
 import (
@@ -13,109 +15,114 @@
 // Kind is a kind of object that every instance keeps a copy of.
 type Kind int
 
-// Kinds of objects.
+// The kinds of objects.
 const (
 	Config Kind = iota
 	Targets
 	Versions
 	Evacuations
-	kinds // their number
+	numKinds
 )
 
-// String names the kind for logs.
+// String returns the kind's name for logs.
 func (k Kind) String() string {
 	return [...]string{"configuration", "targets", "weight versions", "evacuated zones"}[k]
 }
 
-// Report is what an instance tells of one kind.
+// Report is what an instance reports to its peers about one kind of object.
 type Report struct {
 	_ struct{} `cbor:",toarray"`
-	// NewestRevision numbers the last change that the object store had.
+	// NewestRevision is the newest revision that the object store is known to have.
 	NewestRevision uint64
-	// AgeMS is how long ago it was asked, by the teller's clock.
+	// AgeMS is the time since the object store had no newer revision, by the sender's clock,
+	// or unknownAge.
 	AgeMS int64
 }
 
-// Tracker keeps the ages. The zero value knows nothing. It is safe for use by several
-// goroutines.
+// Tracker holds the ages of all copies. In its zero value they are unknown. It is safe for
+// concurrent use.
 type Tracker struct {
-	mu    sync.Mutex
-	pages [kinds]page
+	mu     sync.Mutex
+	copies [numKinds]copyState
 }
 
-type page struct {
-	newest   uint64    // last change that the object store is known to have had
-	asked    time.Time // when it had no newer one; zero: nobody told
-	have     uint64    // the copy is complete up to this change
-	complete time.Time // as of when the copy was complete; zero: never known
+// copyState is the state of the copy of one kind of object.
+type copyState struct {
+	newestRevision uint64    // newest revision that the object store is known to have
+	requestedAt    time.Time // last time at which it had no newer one; zero: not known
+	copyRevision   uint64    // the copy is complete up to this revision
+	completeAsOf   time.Time // last time at which the copy was complete; zero: not known
 }
 
-// settle works out the page's age after a change.
-func (p *page) settle() {
-	if p.have >= p.newest && p.asked.After(p.complete) {
-		p.complete = p.asked
+// updateCompleteness updates completeAsOf after a change of the other fields.
+func (c *copyState) updateCompleteness() {
+	if c.copyRevision >= c.newestRevision && c.requestedAt.After(c.completeAsOf) {
+		c.completeAsOf = c.requestedAt
 	}
 }
 
-// Confirm notes that the object store, asked at that time, had no change after newest.
-func (b *Tracker) Confirm(k Kind, newest uint64, asked time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	p := &b.pages[k]
-	if newest > p.newest || newest == p.newest && asked.After(p.asked) {
-		p.newest, p.asked = newest, asked
-		p.settle()
+// Confirm records that the object store, by a request sent at requestedAt, had no revision
+// after newestRevision.
+func (t *Tracker) Confirm(k Kind, newestRevision uint64, requestedAt time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	c := &t.copies[k]
+	if newestRevision > c.newestRevision || newestRevision == c.newestRevision && requestedAt.After(c.requestedAt) {
+		c.newestRevision, c.requestedAt = newestRevision, requestedAt
+		c.updateCompleteness()
 	}
 }
 
-// SetCopyRevision notes up to which change the copy is complete.
-func (b *Tracker) SetCopyRevision(k Kind, have uint64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	p := &b.pages[k]
-	if have > p.have {
-		p.have = have
-		p.settle()
+// SetCopyRevision records the revision up to which the copy is complete. A lower one than
+// before is ignored.
+func (t *Tracker) SetCopyRevision(k Kind, revision uint64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	c := &t.copies[k]
+	if revision > c.copyRevision {
+		c.copyRevision = revision
+		c.updateCompleteness()
 	}
 }
 
-// Age is how long ago the copy was known to be complete; known is false if it never was.
-func (b *Tracker) Age(k Kind, now time.Time) (age time.Duration, known bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	p := &b.pages[k]
-	return now.Sub(p.complete), !p.complete.IsZero()
+// Age returns the time since the copy was known to be complete; known is false if it never was.
+func (t *Tracker) Age(k Kind, now time.Time) (age time.Duration, known bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	c := &t.copies[k]
+	return now.Sub(c.completeAsOf), !c.completeAsOf.IsZero()
 }
 
-// Reports is what is told to others, in the order of kinds; nil before anything is known.
-func (b *Tracker) Reports(now time.Time) []Report {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	out := make([]Report, kinds)
-	some := false
-	for i, p := range b.pages {
-		out[i] = Report{NewestRevision: p.newest, AgeMS: unknownAge}
-		if !p.asked.IsZero() {
-			out[i].AgeMS = now.Sub(p.asked).Milliseconds() + 1 // rounded up
-			some = true
+// Reports returns the reports for peers, indexed by kind, or nil as long as nothing is known.
+func (t *Tracker) Reports(now time.Time) []Report {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	reports := make([]Report, numKinds)
+	known := false
+	for i, c := range t.copies {
+		reports[i] = Report{NewestRevision: c.newestRevision, AgeMS: unknownAge}
+		if !c.requestedAt.IsZero() {
+			reports[i].AgeMS = now.Sub(c.requestedAt).Milliseconds() + 1 // rounded up
+			known = true
 		}
 	}
-	if !some {
+	if !known {
 		return nil
 	}
-	return out
+	return reports
 }
 
-// unknownAge stands for an age that the teller does not know.
+// unknownAge is the value of Report.AgeMS if the sender does not know the age.
 const unknownAge = -1
 
-// Merge takes the words of another that was asked for them at that time. The time at which
-// the answer came would not do: words go round, and each round would make them younger by
-// what they were under way. Words of further kinds, from a newer program, are left out.
-func (b *Tracker) Merge(words []Report, asked time.Time) {
-	for i, w := range words {
-		if i < int(kinds) && w.AgeMS >= 0 {
-			b.Confirm(Kind(i), w.NewestRevision, asked.Add(-time.Duration(w.AgeMS)*time.Millisecond))
+// Merge applies the reports of a peer. requestedAt is when they were requested from it. The
+// time at which they were received would be wrong: reports are passed on from peer to peer,
+// and each hop would understate their age by its network delay. Reports of unknown kinds, sent
+// by a newer version of the program, are ignored.
+func (t *Tracker) Merge(reports []Report, requestedAt time.Time) {
+	for i, report := range reports {
+		if i < int(numKinds) && report.AgeMS >= 0 {
+			t.Confirm(Kind(i), report.NewestRevision, requestedAt.Add(-time.Duration(report.AgeMS)*time.Millisecond))
 		}
 	}
 }
