--- a/internal/core/limit/fleet_test.go
+++ b/internal/core/limit/fleet_budget_test.go
@@ -9,20 +9,20 @@
 	"github.com/shedhoist/shedhoist/internal/core/limit"
 )
 
-// TestFleetBudget: whatever the order of requests and retries over a fleet, in
-// any window of events the retries stay within the fleet's bound.
+// TestFleetBudget checks that the retries of a whole fleet stay within its bound in any window,
+// whatever the order of requests and retries at the instances.
 func TestFleetBudget(t *testing.T) {
-	const instances, share, slack = 7, 0.2, 54.0
+	const instances, ratio, slack = 7, 0.2, 54.0
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(1, 2))
-	var all []*limit.FleetBudget
+	var budgets []*limit.FleetBudget
 	for range instances {
-		all = append(all, limit.NewFleetBudget(share, slack, instances))
+		budgets = append(budgets, limit.NewFleetBudget(ratio, slack, instances))
 	}
 	type event struct{ request, retry int }
 	var events []event
 	for range 20_000 {
-		b := all[min(r.IntN(instances), r.IntN(instances))] // uneven
+		b := budgets[min(r.IntN(instances), r.IntN(instances))] // uneven load
 		b.Deposit()
 		e := event{request: 1}
 		for range r.IntN(4) {
@@ -39,11 +39,11 @@
 			if i >= size {
 				requests, retries = requests-events[i-size].request, retries-events[i-size].retry
 			}
-			is.True(float64(retries) <= share*float64(requests)+slack)
+			is.True(float64(retries) <= ratio*float64(requests)+slack)
 		}
 	}
 
-	small := limit.NewFleetBudget(share, slack, 1)
+	small := limit.NewFleetBudget(ratio, slack, 1)
 	small.Resize(1000)
-	is.True(!small.TryWithdraw()) // a larger fleet leaves less than one retry to each
+	is.True(!small.TryWithdraw()) // each instance of a larger fleet has less than one retry
 }
--- a/internal/core/limit/limit.go
+++ b/internal/core/limit/limit.go
@@ -1,7 +1,6 @@
-// Package limit holds customers to their limits: requests, prompt tokens and
-// generated tokens a second, and requests at once. It is pure: the caller
-// passes in the time and the share of the fleet's limit that this instance may
-// give out.
+// Package limit enforces the limits of customers on requests, prompt tokens and generated
+// tokens per second and on concurrent requests, and the budgets for retries. It does no I/O
+// and reads no clock: the caller passes in the time and this instance's share of the limits.
 package limit
 
 import (
@@ -9,18 +8,18 @@
 	"time"
 )
 
-// Rates are one customer's limits over the whole fleet. 0 is no limit.
+// Rates are one customer's limits over the whole fleet. 0 means no limit.
 type Rates struct {
-	Requests        float64 // a second
-	PromptTokens    float64 // tokens a second
-	GeneratedTokens float64 // tokens a second
-	Concurrency     int
+	Requests        float64 // per second
+	PromptTokens    float64 // per second
+	GeneratedTokens float64 // per second
+	Concurrency     int     // concurrent requests
 }
 
-// Reason names the limit that was met.
+// Reason names the limit that caused a refusal.
 type Reason string
 
-// Reasons of a refusal.
+// The reasons for a refusal.
 const (
 	RequestRate        Reason = "requests per second"
 	PromptTokenRate    Reason = "prompt tokens per second"
@@ -28,7 +27,7 @@
 	Concurrency        Reason = "concurrent requests"
 )
 
-// RefusedError says which limit was met and when to come back.
+// RefusedError is returned for a request that exceeds a limit. It says when to retry.
 type RefusedError struct {
 	Customer   string
 	Reason     Reason
@@ -37,112 +36,112 @@
 
 // Error implements error.
 func (e *RefusedError) Error() string {
-	return "limit: customer " + e.Customer + " is over its " + string(e.Reason)
+	return "limit: customer " + e.Customer + " exceeds its limit of " + string(e.Reason)
 }
 
-// burstSeconds is how many seconds of a rate may be used at once.
+// burstSeconds is the capacity of a bucket, in seconds of its rate.
 const burstSeconds = 2.0
 
-// bucket is a token bucket that may go into debt: what a request cost is known
-// only when it has been served.
+// bucket is a token bucket whose level may become negative, since the cost of a request is
+// known only after it was served.
 type bucket struct {
-	level float64
-	at    time.Time
+	level      float64
+	refilledAt time.Time
 }
 
-// fill brings the bucket to now and returns its level.
-func (b *bucket) fill(rate float64, now time.Time) float64 {
-	full := math.Max(rate*burstSeconds, 1)
-	if b.at.IsZero() {
-		b.level, b.at = full, now
+// refill adds what has accrued since the last call and returns the level.
+func (b *bucket) refill(rate float64, now time.Time) float64 {
+	capacity := math.Max(rate*burstSeconds, 1)
+	if b.refilledAt.IsZero() {
+		b.level, b.refilledAt = capacity, now
 		return b.level
 	}
-	b.level = math.Min(full, b.level+rate*now.Sub(b.at).Seconds())
-	b.at = now
+	b.level = math.Min(capacity, b.level+rate*now.Sub(b.refilledAt).Seconds())
+	b.refilledAt = now
 	return b.level
 }
 
-// wait is how long until the bucket holds need.
-func (b *bucket) wait(need, rate float64) time.Duration {
+// timeUntil returns the time until the bucket reaches a level.
+func (b *bucket) timeUntil(level, rate float64) time.Duration {
 	if rate <= 0 {
 		return time.Minute
 	}
-	return time.Duration((need - b.level) / rate * float64(time.Second))
+	return time.Duration((level - b.level) / rate * float64(time.Second))
 }
 
 // Customer is the state of one customer on one instance.
 type Customer struct {
 	name                        string
 	requests, prompt, generated bucket
-	running                     int
+	inFlight                    int
 }
 
-// NewCustomer returns a customer that has used nothing.
+// NewCustomer returns a customer with full buckets and no requests in flight.
 func NewCustomer(name string) *Customer { return &Customer{name: name} }
 
-// Admit takes one request of so many prompt tokens, or refuses it. share, in
-// (0, 1], is this instance's part of the fleet's limits.
+// Admit admits a request, or returns a *RefusedError. share, in (0, 1], is this instance's part
+// of the fleet's limits. Release must follow for each admitted request.
 func (c *Customer) Admit(r Rates, promptTokens int, share float64, now time.Time) error {
-	refuse := func(reason Reason, wait time.Duration) error {
-		return &RefusedError{Customer: c.name, Reason: reason, RetryAfter: max(wait, time.Second)}
+	refuse := func(reason Reason, retryAfter time.Duration) error {
+		return &RefusedError{Customer: c.name, Reason: reason, RetryAfter: max(retryAfter, time.Second)}
 	}
-	if r.Concurrency > 0 && c.running >= max(1, int(math.Ceil(float64(r.Concurrency)*share))) {
+	if r.Concurrency > 0 && c.inFlight >= max(1, int(math.Ceil(float64(r.Concurrency)*share))) {
 		return refuse(Concurrency, time.Second)
 	}
-	if r.Requests > 0 && c.requests.fill(r.Requests*share, now) < 1 {
-		return refuse(RequestRate, c.requests.wait(1, r.Requests*share))
+	if r.Requests > 0 && c.requests.refill(r.Requests*share, now) < 1 {
+		return refuse(RequestRate, c.requests.timeUntil(1, r.Requests*share))
 	}
-	// A prompt may be longer than a whole burst: it passes when the bucket is
-	// not in debt, and its debt keeps the next ones waiting.
-	if r.PromptTokens > 0 && c.prompt.fill(r.PromptTokens*share, now) <= 0 {
-		return refuse(PromptTokenRate, c.prompt.wait(0, r.PromptTokens*share))
+	// A prompt may be longer than the bucket's capacity. It is admitted if the level is
+	// positive, and may leave a negative one, which delays the next requests.
+	if r.PromptTokens > 0 && c.prompt.refill(r.PromptTokens*share, now) <= 0 {
+		return refuse(PromptTokenRate, c.prompt.timeUntil(0, r.PromptTokens*share))
 	}
-	if r.GeneratedTokens > 0 && c.generated.fill(r.GeneratedTokens*share, now) <= 0 {
-		return refuse(GeneratedTokenRate, c.generated.wait(0, r.GeneratedTokens*share))
+	if r.GeneratedTokens > 0 && c.generated.refill(r.GeneratedTokens*share, now) <= 0 {
+		return refuse(GeneratedTokenRate, c.generated.timeUntil(0, r.GeneratedTokens*share))
 	}
 	c.requests.level--
 	c.prompt.level -= float64(promptTokens)
-	c.running++
+	c.inFlight++
 	return nil
 }
 
-// GeneratedTokens charges tokens as they are generated.
+// ChargeGenerated charges generated tokens.
 func (c *Customer) ChargeGenerated(tokens int) { c.generated.level -= float64(tokens) }
 
 // Release ends one admitted request.
-func (c *Customer) Release() { c.running-- }
+func (c *Customer) Release() { c.inFlight-- }
 
-// InFlight is the number of requests admitted and not released.
-func (c *Customer) InFlight() int { return c.running }
+// InFlight returns the number of requests that were admitted and not released.
+func (c *Customer) InFlight() int { return c.inFlight }
 
-// Budget is a retry budget: a share of the requests of late may be retried,
-// so that retries never multiply the load of a sick fleet (Google SRE book,
-// "Addressing Cascading Failures"; the paper's section 3.5 names it too).
+// Budget is a retry budget: retries are limited to a ratio of the recent requests, so that they
+// cannot multiply the load of a failing fleet (Google SRE book, "Addressing Cascading
+// Failures"; section 3.5 of the paper).
 type Budget struct {
-	share  float64
-	tokens float64
+	ratio   float64
+	balance float64
 }
 
-// Bounds of a budget's balance: the least lets a quiet fleet retry at all.
+// Bounds of a Budget's balance. The initial balance allows retries in a fleet with few requests.
 const (
-	budgetStart = 10
-	budgetMax   = 100
+	initialBalance = 10
+	maxBalance     = 100
 )
 
-// NewBudget returns a budget that allows share retries a request.
-func NewBudget(share float64) *Budget { return &Budget{share: share, tokens: budgetStart} }
+// NewBudget returns a budget that earns ratio retries per request.
+func NewBudget(ratio float64) *Budget { return &Budget{ratio: ratio, balance: initialBalance} }
 
-// SetRatio changes the share.
-func (b *Budget) SetRatio(share float64) { b.share = share }
+// SetRatio changes the retries earned per request.
+func (b *Budget) SetRatio(ratio float64) { b.ratio = ratio }
 
-// Deposit earns the share of one retry.
-func (b *Budget) Deposit() { b.tokens = math.Min(budgetMax, b.tokens+b.share) }
+// Deposit adds what one request earns.
+func (b *Budget) Deposit() { b.balance = math.Min(maxBalance, b.balance+b.ratio) }
 
-// TryWithdraw spends one retry if there is one.
+// TryWithdraw takes one retry from the balance, and reports whether there was one.
 func (b *Budget) TryWithdraw() bool {
-	if b.tokens < 1 {
+	if b.balance < 1 {
 		return false
 	}
-	b.tokens--
+	b.balance--
 	return true
 }
