--- a/internal/core/attempt/attempt.go
+++ b/internal/core/attempt/attempt.go
@@ -1,27 +1,27 @@
-// Package attempt is one request's life between arrival and final answer, as a
-// pure state machine: what happened goes in by Step, what to do next comes
-// out. It alone decides whether a request is sent again, resumed elsewhere or
-// ended, and what may truthfully be said about its execution.
+// Package attempt is the state machine of one request from its arrival to its final response.
+// Step takes the event that ended an attempt and returns the next action. The package alone
+// decides whether a request is retried, resumed at another target or ended, and what the caller
+// is told about its execution. It does no I/O and reads no clock.
 package attempt
 
 import "github.com/shedhoist/shedhoist/internal/problem"
 
-// Event is what happened to the request.
+// Event is how an attempt ended.
 type Event uint8
 
-// Events. Their order in a life: Place, then one of the ends for each attempt.
+// The events.
 const (
 	NotSent              Event = iota // no byte of the request reached a connection
-	Refused                           // the target refused in its documented way: it did not run
-	FailedBeforeResponse              // the connection broke after bytes were sent, before an answer began
-	FailedMidResponse                 // the answer began and is not whole
-	Mismatched                        // the answer belongs to another request
-	TimedOut                          // the attempt or the request passed its deadline
+	Refused                           // the target refused in its documented way, so the request did not run
+	FailedBeforeResponse              // the connection broke after bytes were sent and before a response started
+	FailedMidResponse                 // the response started and is incomplete or invalid
+	Mismatched                        // the response belongs to another request
+	TimedOut                          // the attempt or the request exceeded its deadline
 	CallerGone                        // the caller closed its connection
-	Done                              // the whole answer is there
+	Done                              // the response is complete
 )
 
-// String names the event for why-records, logs and metrics.
+// String returns the event's name, which appears in explain records, logs and metrics.
 func (e Event) String() string {
 	return [...]string{"not sent", "refused", "broke before the answer", "broke within the answer", "answer of another request",
 		"timed out", "caller gone", "done"}[e]
@@ -30,85 +30,86 @@
 // Action is what to do next.
 type Action uint8
 
-// Actions.
+// The actions.
 const (
-	Finish Action = iota // deliver the answer: the request is complete
-	Fail                 // end with the verdict's problem
+	Finish Action = iota // deliver the response: the request is complete
+	Fail                 // end the request with the problem in Verdict.Kind
 	Retry                // send the whole request to another target
-	Resume               // continue elsewhere behind the tokens already delivered
+	Resume               // continue at another target after the tokens already delivered
 )
 
-// String names the action for logs.
+// String returns the action's name in logs.
 func (a Action) String() string { return [...]string{"finish", "fail", "retry", "resume"}[a] }
 
-// Verdict is the machine's answer to an event.
+// Verdict is the result of a step. Kind is set for Fail, Execution for Fail and Finish.
 type Verdict struct {
 	Action    Action
 	Kind      problem.Kind
 	Execution problem.Execution
 }
 
-// Request is the state of one request. The zero value is not usable.
+// Request is the state of one request. Use New to create one.
 type Request struct {
-	idempotent bool
-	resumable  bool // a broken answer can continue behind its delivered tokens
-	left       int  // attempts left
-	touched    bool // some attempt may have run
-	answered   bool // some attempt's answer began
-	over       bool
+	idempotent      bool
+	resumable       bool // an incomplete response can continue after its delivered tokens
+	attemptsLeft    int
+	mayHaveRun      bool // an attempt may have run at its target
+	responseStarted bool // the response of an attempt started
+	ended           bool
 }
 
-// New starts a request that may use up to attempts attempts. A request that
-// is not idempotent is sent again only if it is certain that it did not run.
+// New returns the state of a request with a maximum number of attempts. A request that is not
+// idempotent is retried only if it certainly did not run.
 func New(idempotent, resumable bool, attempts int) *Request {
-	return &Request{idempotent: idempotent, resumable: resumable, left: attempts}
+	return &Request{idempotent: idempotent, resumable: resumable, attemptsLeft: attempts}
 }
 
-// Step takes the end of one attempt. budget spends one retry if there is one;
-// it is asked only when all else allows another attempt. Step must not be
-// called again after Finish or Fail.
+// Step records the end of an attempt and returns the next action. budget takes a retry from the
+// retry budget and reports whether there was one; it is called only if everything else allows
+// another attempt. Step must not be called again after Finish or Fail.
 func (r *Request) Step(ev Event, budget func() bool) Verdict {
-	if r.over {
+	if r.ended {
 		return Verdict{Action: Fail, Kind: problem.Internal, Execution: r.execution()}
 	}
-	r.left--
-	r.note(ev)
+	r.attemptsLeft--
+	r.recordExecution(ev)
 	if ev == Done {
-		r.over = true
+		r.ended = true
 		return Verdict{Action: Finish, Execution: problem.Ran}
 	}
-	if action, ok := r.again(ev); ok && r.left > 0 && budget() {
+	if action, ok := r.nextAttempt(ev); ok && r.attemptsLeft > 0 && budget() {
 		return Verdict{Action: action}
 	}
-	r.over = true
-	return Verdict{Action: Fail, Kind: kinds[ev], Execution: r.execution()}
+	r.ended = true
+	return Verdict{Action: Fail, Kind: problemKinds[ev], Execution: r.execution()}
 }
 
-// NoTarget ends a request for which no (further) target may be used.
+// NoTarget ends a request for which there is no target, or no further one.
 func (r *Request) NoTarget() Verdict {
-	r.over = true
+	r.ended = true
 	return Verdict{Action: Fail, Kind: problem.NoTarget, Execution: r.execution()}
 }
 
-// Quarantined ends a request that is to be kept from (further) targets.
+// Quarantined ends a request that is quarantined and may be sent to no target, or no further one.
 func (r *Request) Quarantined() Verdict {
-	r.over = true
+	r.ended = true
 	return Verdict{Action: Fail, Kind: problem.Quarantined, Execution: r.execution()}
 }
 
-// note keeps the truth: once touched, never "not run" again.
-func (r *Request) note(ev Event) {
+// recordExecution records whether the request may have run. Once it may have, it is never
+// reported as not run again.
+func (r *Request) recordExecution(ev Event) {
 	switch ev {
 	case NotSent, Refused:
 	case FailedMidResponse, Done:
-		r.touched, r.answered = true, true
+		r.mayHaveRun, r.responseStarted = true, true
 	default:
-		r.touched = true
+		r.mayHaveRun = true
 	}
 }
 
-// again says whether the event allows another attempt, and of which sort.
-func (r *Request) again(ev Event) (Action, bool) {
+// nextAttempt reports whether an event allows another attempt, and returns its action.
+func (r *Request) nextAttempt(ev Event) (Action, bool) {
 	switch ev {
 	case NotSent, Refused:
 		return Retry, true
@@ -123,17 +124,19 @@
 	return Fail, false
 }
 
+// execution returns what is known about the execution of the request.
 func (r *Request) execution() problem.Execution {
 	switch {
-	case r.answered:
+	case r.responseStarted:
 		return problem.Ran
-	case r.touched:
+	case r.mayHaveRun:
 		return problem.MayHaveRun
 	}
 	return problem.NotRun
 }
 
-var kinds = map[Event]problem.Kind{
+// problemKinds are the problems reported to the caller if the request ends with an event.
+var problemKinds = map[Event]problem.Kind{
 	NotSent: problem.NoTarget, Refused: problem.Overloaded, FailedBeforeResponse: problem.TargetFailed,
 	FailedMidResponse: problem.BadAnswer, Mismatched: problem.BadAnswer, TimedOut: problem.TargetTimeout,
 	CallerGone: problem.CallerGone,
--- a/internal/core/attempt/attempt_test.go
+++ b/internal/core/attempt/attempt_test.go
@@ -10,25 +10,25 @@
 	"github.com/shedhoist/shedhoist/internal/problem"
 )
 
-func yes() bool { return true }
-func no() bool  { return false }
+func budgetLeft() bool      { return true }
+func budgetExhausted() bool { return false }
 
-// TestStep is the whole table of first ends.
+// TestStep checks the verdict on each event that can end the first attempt.
 func TestStep(t *testing.T) {
 	fail := func(k problem.Kind, e problem.Execution) attempt.Verdict {
 		return attempt.Verdict{Action: attempt.Fail, Kind: k, Execution: e}
 	}
 	retry, resume := attempt.Verdict{Action: attempt.Retry}, attempt.Verdict{Action: attempt.Resume}
 	cases := []struct {
-		name       string
-		ev         attempt.Event
-		idempotent attempt.Verdict // of an idempotent, resumable request
-		once       attempt.Verdict // of one that is neither
+		name          string
+		ev            attempt.Event
+		idempotent    attempt.Verdict // of an idempotent, resumable request
+		nonIdempotent attempt.Verdict // of a request that is neither
 	}{
 		{"not sent", attempt.NotSent, retry, retry},
 		{"refused", attempt.Refused, retry, retry},
-		{"broke early", attempt.FailedBeforeResponse, retry, fail(problem.TargetFailed, problem.MayHaveRun)},
-		{"broke late", attempt.FailedMidResponse, resume, fail(problem.BadAnswer, problem.Ran)},
+		{"failed before response", attempt.FailedBeforeResponse, retry, fail(problem.TargetFailed, problem.MayHaveRun)},
+		{"failed mid-response", attempt.FailedMidResponse, resume, fail(problem.BadAnswer, problem.Ran)},
 		{"mismatched", attempt.Mismatched, retry, fail(problem.BadAnswer, problem.MayHaveRun)},
 		{"timed out", attempt.TimedOut, fail(problem.TargetTimeout, problem.MayHaveRun), fail(problem.TargetTimeout, problem.MayHaveRun)},
 		{"caller gone", attempt.CallerGone, fail(problem.CallerGone, problem.MayHaveRun), fail(problem.CallerGone, problem.MayHaveRun)},
@@ -37,44 +37,45 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(attempt.New(true, true, 3).Step(c.ev, yes), c.idempotent)
-			is.Equal(attempt.New(false, false, 3).Step(c.ev, yes), c.once)
-			is.True(attempt.New(true, true, 1).Step(c.ev, yes).Action != attempt.Retry) // no attempts left
-			is.True(attempt.New(true, true, 3).Step(c.ev, no).Action != attempt.Retry)  // no budget
+			is.Equal(attempt.New(true, true, 3).Step(c.ev, budgetLeft), c.idempotent)
+			is.Equal(attempt.New(false, false, 3).Step(c.ev, budgetLeft), c.nonIdempotent)
+			is.True(attempt.New(true, true, 1).Step(c.ev, budgetLeft).Action != attempt.Retry)      // no attempts left
+			is.True(attempt.New(true, true, 3).Step(c.ev, budgetExhausted).Action != attempt.Retry) // no retry budget left
 		})
 	}
 }
 
-// TestTruth: over any life, "not run" is said only if no attempt was touched,
-// and a request that is not idempotent is never sent after one that was.
-func TestTruth(t *testing.T) {
+// TestExecutionIsTruthful checks for arbitrary events that a request is reported as not run only
+// if no attempt may have run, and that a request that is not idempotent is not retried after an
+// attempt that may have run.
+func TestExecutionIsTruthful(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		idempotent := rapid.Bool().Draw(t, "idempotent")
 		r := attempt.New(idempotent, rapid.Bool().Draw(t, "resumable"), rapid.IntRange(1, 6).Draw(t, "attempts"))
-		touched, answered := false, false
+		mayHaveRun, responseStarted := false, false
 		for {
 			ev := attempt.Event(rapid.IntRange(int(attempt.NotSent), int(attempt.Done)).Draw(t, "event"))
 			if ev != attempt.NotSent && ev != attempt.Refused {
-				touched = true
+				mayHaveRun = true
 			}
-			answered = answered || ev == attempt.FailedMidResponse || ev == attempt.Done
+			responseStarted = responseStarted || ev == attempt.FailedMidResponse || ev == attempt.Done
 			v := r.Step(ev, func() bool { return rapid.Bool().Draw(t, "budget") })
 			switch v.Action {
 			case attempt.Retry, attempt.Resume:
-				if touched && !idempotent {
-					t.Fatal("a request that may have run is sent again")
+				if mayHaveRun && !idempotent {
+					t.Fatal("a request that may have run was retried")
 				}
 				continue
 			case attempt.Finish:
 				if ev != attempt.Done {
-					t.Fatalf("finished by %d", ev)
+					t.Fatalf("finished by event %d", ev)
 				}
 			case attempt.Fail:
 				want := problem.NotRun
-				if touched {
+				if mayHaveRun {
 					want = problem.MayHaveRun
 				}
-				if answered {
+				if responseStarted {
 					want = problem.Ran
 				}
 				if v.Execution != want {
--- a/internal/core/attempt/seed_test.go
+++ b/internal/core/attempt/seed_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// The properties are checked on the same draws each run.
+// init fixes the seed, so that the property tests draw the same values in each run.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
