--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -66,7 +66,7 @@
 // Action is the outcome of a placement.
 type Action uint8
 
-// Actions.
+// The actions.
 const (
 	Send     Action = iota // send the request to the target at Decision.Index
 	Refuse                 // refuse the request at once: all eligible targets are full
