--- a/internal/core/member/member.go
+++ b/internal/core/member/member.go
@@ -1,12 +1,13 @@
-// Package member is the instances' knowledge of one another, as a pure state
+// Package member implements group membership of the instances as a pure state
 // machine after SWIM (Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent
 // Infection-style Process Group Membership Protocol", 2002): each instance
-// probes one other a period, asks a few more to probe it when it is silent, and
-// spreads what changed on the probes themselves. So the cost an instance is
-// constant, whatever the number of instances.
+// probes one other per period, has a few more probe it if it does not answer,
+// and piggybacks membership updates on the probes. The cost per instance is
+// therefore constant, whatever the number of instances.
 //
-// The caller passes in time by Tick and messages by Ack, Fail and Receive, and
-// carries out the probes handed back.
+// The caller passes in time by Tick, results of probes by Ack,
+// DirectProbeFailed and ProbeFailed, and messages by Receive, and sends the
+// probes that are returned.
 package member
 
 import (
@@ -16,7 +17,7 @@
 	"time"
 )
 
-// State is what is believed of an instance.
+// State is the state of an instance as known to another one.
 type State uint8
 
 // States, in the order in which they override one another at the same
@@ -28,71 +29,73 @@
 	Left
 )
 
-// String names the state for operators.
+// String returns the state's name.
 func (s State) String() string { return [...]string{"alive", "suspect", "dead", "left"}[s] }
 
-// Member is one instance as known here. It is also the update that spreads.
+// Member describes one instance. It is also the update that instances gossip.
 type Member struct {
 	Name        string `cbor:"1,keyasint" json:"name"`
-	Address     string `cbor:"2,keyasint" json:"address"` // peers' listener
+	Address     string `cbor:"2,keyasint" json:"address"` // of its listener for peers
 	Zone        string `cbor:"3,keyasint" json:"zone"`
-	Incarnation uint64 `cbor:"4,keyasint" json:"incarnation"` // only the member itself raises it
+	Incarnation uint64 `cbor:"4,keyasint" json:"incarnation"` // incremented only by the member itself
 	State       State  `cbor:"5,keyasint" json:"state"`
-	Detached    bool   `cbor:"6,keyasint,omitempty" json:"detached,omitempty"` // the object store does not answer it
+	Detached    bool   `cbor:"6,keyasint,omitempty" json:"detached,omitempty"` // its object store is unreachable
 }
 
-// Probe is a message to send. Via is empty for a direct probe; else it is the
-// address of the member that is asked to probe To.
+// Probe is a message to send. Via is empty for a direct probe; for an indirect
+// one it is the address of the member that is to probe To.
 type Probe struct {
-	To      string // name
+	To      string // name of the member to probe
 	Address string
 	Via     string
 	Updates []Member
 }
 
-// Params are the machine's bounds.
+// Params are the timeouts and limits of a Machine.
 type Params struct {
 	Period           time.Duration // between probes
-	SuspicionTimeout time.Duration // from suspect to dead
-	Retention        time.Duration // how long the dead and the left are remembered
-	IndirectProbes   int           // members asked to probe a silent one
+	SuspicionTimeout time.Duration // after which a suspect member is dead
+	Retention        time.Duration // how long dead members and those that left are kept
+	IndirectProbes   int           // members that probe one that failed a direct probe
 	MaxUpdates       int           // updates on one message
-	MaxMembers       int           // members remembered, against garbage
+	MaxMembers       int           // bounds memory against invalid updates
 }
 
-// DefaultLeaseParams suit a few hundred instances.
+// DefaultParams suit a few hundred instances.
 var DefaultParams = Params{Period: 500 * time.Millisecond, SuspicionTimeout: 3 * time.Second, Retention: 2 * time.Minute, IndirectProbes: 3, MaxUpdates: 8, MaxMembers: 4096}
 
+// record is a member and the time when its state was last set.
 type record struct {
 	Member
-	since time.Time // of the state
+	since time.Time
 }
 
-type rumor struct {
-	m    Member
-	sent int
+// queuedUpdate is an update and how many times it has been sent.
+type queuedUpdate struct {
+	update Member
+	sent   int
 }
 
-// Machine is one instance's knowledge. It belongs to one goroutine.
+// Machine is one instance's view of the group. It is not safe for concurrent use.
 type Machine struct {
-	p       Params
-	self    Member
-	members map[string]*record // without self
-	rumors  []rumor
-	ring    []string // names still to probe in this round
-	rand    func(n int) int
-	next    time.Time // of the next probe
-	changed bool
+	params     Params
+	self       Member
+	members    map[string]*record // by name, without self
+	queue      []queuedUpdate
+	probeOrder []string // names still to probe in this round
+	rand       func(n int) int
+	nextProbe  time.Time
+	changed    bool
 }
 
 // New returns a machine that knows only itself. rand returns a number in [0, n).
 func New(p Params, self Member, rand func(n int) int) *Machine {
-	m := &Machine{p: p, self: self, members: map[string]*record{}, rand: rand, changed: true}
-	m.spread(self)
+	m := &Machine{params: p, self: self, members: map[string]*record{}, rand: rand, changed: true}
+	m.enqueue(self)
 	return m
 }
 
-// Self is this instance as others shall know it.
+// Self returns this instance as it is announced to others.
 func (m *Machine) Self() Member { return m.self }
 
 // Members returns all members, this one included, sorted by name.
@@ -106,7 +109,7 @@
 	return out
 }
 
-// LiveCount is the number of live members, this one included.
+// LiveCount returns the number of live members, this one included.
 func (m *Machine) LiveCount() int {
 	n := 0
 	if m.self.State == Alive {
@@ -120,69 +123,71 @@
 	return n
 }
 
-// TakeChanged says whether the members changed since it was last asked.
+// TakeChanged reports whether the members changed since the last call.
 func (m *Machine) TakeChanged() bool {
-	c := m.changed
+	changed := m.changed
 	m.changed = false
-	return c
+	return changed
 }
 
 // Tick advances time and returns the probes now due.
 func (m *Machine) Tick(now time.Time) []Probe {
-	m.age(now)
-	if now.Before(m.next) {
+	m.expire(now)
+	if now.Before(m.nextProbe) {
 		return nil
 	}
-	m.next = now.Add(m.p.Period)
-	r := m.pick()
+	m.nextProbe = now.Add(m.params.Period)
+	r := m.nextMember()
 	if r == nil {
 		return nil
 	}
 	return []Probe{{To: r.Name, Address: r.Address, Updates: m.UpdatesFor(r.Name)}}
 }
 
-// age turns lasting suspicion into death and forgets the long gone.
-func (m *Machine) age(now time.Time) {
+// expire declares members dead that stayed suspect for SuspicionTimeout, and
+// removes those that have been dead or have left for Retention.
+func (m *Machine) expire(now time.Time) {
 	for name, r := range m.members {
 		switch {
-		case r.State == Suspect && now.Sub(r.since) >= m.p.SuspicionTimeout:
+		case r.State == Suspect && now.Sub(r.since) >= m.params.SuspicionTimeout:
 			dead := r.Member
 			dead.State = Dead
 			m.apply(dead, now)
-		case r.State >= Dead && now.Sub(r.since) >= m.p.Retention:
+		case r.State >= Dead && now.Sub(r.since) >= m.params.Retention:
 			delete(m.members, name)
 			m.changed = true
 		}
 	}
 }
 
-// pick takes the next member of a shuffled round, so that each is probed once
-// a round: detection time is bounded, not only likely.
-func (m *Machine) pick() *record {
+// nextMember returns the next member of a shuffled round-robin. Each member is
+// probed once per round, which bounds the time to detect a failure.
+func (m *Machine) nextMember() *record {
 	for range 2 {
-		for len(m.ring) > 0 {
-			name := m.ring[len(m.ring)-1]
-			m.ring = m.ring[:len(m.ring)-1]
+		for len(m.probeOrder) > 0 {
+			name := m.probeOrder[len(m.probeOrder)-1]
+			m.probeOrder = m.probeOrder[:len(m.probeOrder)-1]
 			if r := m.members[name]; r != nil && r.State < Dead {
 				return r
 			}
 		}
 		for name, r := range m.members {
 			if r.State < Dead {
-				m.ring = append(m.ring, name)
+				m.probeOrder = append(m.probeOrder, name)
 			}
 		}
-		slices.Sort(m.ring)
-		for i := len(m.ring) - 1; i > 0; i-- {
+		slices.Sort(m.probeOrder)
+		for i := len(m.probeOrder) - 1; i > 0; i-- {
 			j := m.rand(i + 1)
-			m.ring[i], m.ring[j] = m.ring[j], m.ring[i]
+			m.probeOrder[i], m.probeOrder[j] = m.probeOrder[j], m.probeOrder[i]
 		}
 	}
 	return nil
 }
 
-// DirectProbeFailed takes a direct probe without an answer. It returns indirect probes
-// to make; their answers end in Ack or Fail.
+// DirectProbeFailed records that a direct probe was not answered. It returns
+// the indirect probes to send. The caller then calls Ack if one of them
+// succeeds, else ProbeFailed; if none is returned, the member is suspect already.
 func (m *Machine) DirectProbeFailed(name string, now time.Time) []Probe {
 	r := m.members[name]
 	if r == nil || r.State >= Dead {
@@ -196,7 +201,7 @@
 	}
 	slices.SortFunc(others, func(a, b *record) int { return cmp.Compare(a.Name, b.Name) })
 	var out []Probe
-	for len(others) > 0 && len(out) < m.p.IndirectProbes {
+	for len(others) > 0 && len(out) < m.params.IndirectProbes {
 		i := m.rand(len(others))
 		out = append(out, Probe{To: name, Address: r.Address, Via: others[i].Address, Updates: m.UpdatesFor(name)})
 		others = slices.Delete(others, i, i+1)
@@ -207,29 +212,30 @@
 	return out
 }
 
-// ProbeFailed takes the end of all probes of a member without an answer.
+// ProbeFailed records that no probe of a member was answered: a live member
+// becomes suspect.
 func (m *Machine) ProbeFailed(name string, now time.Time) {
 	r := m.members[name]
 	if r == nil || r.State != Alive {
 		return
 	}
-	s := r.Member
-	s.State = Suspect
-	m.apply(s, now)
+	suspected := r.Member
+	suspected.State = Suspect
+	m.apply(suspected, now)
 }
 
-// Ack takes an answer that proves a member alive at its known incarnation. A
-// suspicion is not lifted by it: the member itself must refute, so that all
-// hear of it; the updates sent along tell it to.
+// Ack records an answer that proves a member alive at its known incarnation. It
+// does not lift a suspicion: the member must refute it itself, so that all
+// instances learn of it. The updates sent with the probe make it do so.
 func (m *Machine) Ack(name string, now time.Time) {
 	r := m.members[name]
 	if r != nil && r.State == Suspect {
-		m.spread(r.Member)
-		r.since = now // it lives: leave it the time to refute
+		m.enqueue(r.Member)
+		r.since = now // restart the timeout, since the member needs time to refute
 	}
 }
 
-// Receive takes the updates that came on any message.
+// Receive applies the updates of a received message and ignores invalid ones.
 func (m *Machine) Receive(updates []Member, now time.Time) {
 	for _, u := range updates {
 		if valid(u) {
@@ -238,11 +244,11 @@
 	}
 }
 
-// maxField bounds the strings of an update, in bytes.
-const maxField = 128
+// maxFieldBytes bounds the length of each string of an update.
+const maxFieldBytes = 128
 
 func valid(u Member) bool {
-	return u.Name != "" && len(u.Name) <= maxField && u.Address != "" && len(u.Address) <= maxField && len(u.Zone) <= maxField && u.State <= Left
+	return u.Name != "" && len(u.Name) <= maxFieldBytes && u.Address != "" && len(u.Address) <= maxFieldBytes && len(u.Zone) <= maxFieldBytes && u.State <= Left
 }
 
 func (m *Machine) receive(u Member, now time.Time) {
@@ -251,8 +257,8 @@
 		return
 	}
 	if r := m.members[u.Name]; r == nil {
-		if u.State >= Dead || len(m.members) >= m.p.MaxMembers {
-			return // news of the end of a stranger is no news
+		if u.State >= Dead || len(m.members) >= m.params.MaxMembers {
+			return // an unknown member that is gone need not be added
 		}
 	} else if !overrides(u, r.Member) {
 		return
@@ -260,8 +266,8 @@
 	m.apply(u, now)
 }
 
-// overrides is SWIM's order: a higher incarnation wins; at the same one the
-// worse state does.
+// overrides implements SWIM's precedence of updates: a higher incarnation wins;
+// at the same incarnation the higher state wins.
 func overrides(u, old Member) bool {
 	if u.Incarnation != old.Incarnation {
 		return u.Incarnation > old.Incarnation
@@ -269,8 +275,9 @@
 	return u.State > old.State
 }
 
-// refute answers any word of this instance's end, or of an older self at
-// another address, with a higher incarnation.
+// refute answers an update that declares this instance suspect, dead or gone, or
+// that describes an earlier process under its name at another address: it
+// announces this instance with a higher incarnation.
 func (m *Machine) refute(u Member) {
 	if m.self.State == Left || u.Incarnation < m.self.Incarnation {
 		return
@@ -280,28 +287,30 @@
 	}
 	m.self.Incarnation = u.Incarnation + 1
 	m.changed = true
-	m.spread(m.self)
+	m.enqueue(m.self)
 }
 
-// SetDetached tells the others whether the object store answers this instance.
-func (m *Machine) SetDetached(yes bool) {
-	if m.self.Detached == yes {
+// SetDetached sets whether this instance's object store is unreachable, and
+// announces a change to the others.
+func (m *Machine) SetDetached(detached bool) {
+	if m.self.Detached == detached {
 		return
 	}
-	m.self.Detached = yes
+	m.self.Detached = detached
 	m.self.Incarnation++
 	m.changed = true
-	m.spread(m.self)
+	m.enqueue(m.self)
 }
 
-// Leave says goodbye: the update spreads with the last messages.
+// Leave marks this instance as left. It returns the last probes to send, which
+// carry the update.
 func (m *Machine) Leave() []Probe {
 	m.self.State = Left
 	m.changed = true
-	m.spread(m.self)
+	m.enqueue(m.self)
 	var out []Probe
-	for range m.p.IndirectProbes {
-		if r := m.pick(); r != nil {
+	for range m.params.IndirectProbes {
+		if r := m.nextMember(); r != nil {
 			out = append(out, Probe{To: r.Name, Address: r.Address, Updates: m.UpdatesFor(r.Name)})
 		}
 	}
@@ -311,46 +320,47 @@
 func (m *Machine) apply(u Member, now time.Time) {
 	m.members[u.Name] = &record{Member: u, since: now}
 	m.changed = true
-	m.spread(u)
+	m.enqueue(u)
 }
 
-// spread queues an update, in place of an older one about the same member.
-func (m *Machine) spread(u Member) {
-	m.rumors = slices.DeleteFunc(m.rumors, func(r rumor) bool { return r.m.Name == u.Name })
-	m.rumors = append(m.rumors, rumor{m: u})
+// enqueue queues an update and drops an older one about the same member.
+func (m *Machine) enqueue(u Member) {
+	m.queue = slices.DeleteFunc(m.queue, func(queued queuedUpdate) bool { return queued.update.Name == u.Name })
+	m.queue = append(m.queue, queuedUpdate{update: u})
 }
 
-// UpdatesFor returns the updates for a message to a member. One that is believed
-// suspect or dead is told so first, whether or not that is still news: only it
-// can refute it.
+// UpdatesFor returns the updates for a message to a member. If the member is not
+// known as alive, its own state comes first, even if it is no longer queued,
+// since only the member itself can refute it.
 func (m *Machine) UpdatesFor(to string) []Member {
-	out := m.batch()
+	out := m.nextUpdates()
 	if r := m.members[to]; r != nil && r.State != Alive {
 		out = append([]Member{r.Member}, out...)
 	}
 	return out
 }
 
-// batch takes the least sent updates. Each is sent some multiple of log2 of
-// the number of members times, which reaches all with high probability.
-func (m *Machine) batch() []Member {
-	slices.SortStableFunc(m.rumors, func(a, b rumor) int { return cmp.Compare(a.sent, b.sent) })
-	n := min(len(m.rumors), m.p.MaxUpdates)
+// nextUpdates returns the updates that were sent the fewest times. Each is sent
+// a multiple of log2(members) times, which reaches all members with high
+// probability.
+func (m *Machine) nextUpdates() []Member {
+	slices.SortStableFunc(m.queue, func(a, b queuedUpdate) int { return cmp.Compare(a.sent, b.sent) })
+	n := min(len(m.queue), m.params.MaxUpdates)
 	out := make([]Member, 0, n)
 	for i := range n {
-		out = append(out, m.rumors[i].m)
-		m.rumors[i].sent++
+		out = append(out, m.queue[i].update)
+		m.queue[i].sent++
 	}
-	most := spreadFactor * bits.Len(uint(len(m.members)+1))
-	m.rumors = slices.DeleteFunc(m.rumors, func(r rumor) bool { return r.sent >= most })
+	maxSends := retransmitFactor * bits.Len(uint(len(m.members)+1))
+	m.queue = slices.DeleteFunc(m.queue, func(queued queuedUpdate) bool { return queued.sent >= maxSends })
 	return out
 }
 
-// spreadFactor times log2(members) is how often an update is sent on.
-const spreadFactor = 3
+// retransmitFactor times log2(members) is how many times an update is sent.
+const retransmitFactor = 3
 
 // Sample returns up to n live members chosen at random, this one not included.
-// No period's turn is taken.
+// It does not advance the probe round.
 func (m *Machine) Sample(n int) []Member {
 	var alive []Member
 	for _, r := range m.members {
--- a/internal/core/member/member_test.go
+++ b/internal/core/member/member_test.go
@@ -13,9 +13,9 @@
 	"github.com/shedhoist/shedhoist/internal/core/member"
 )
 
-// network carries messages between machines in one goroutine, on its own time.
+// network delivers messages between machines in one goroutine with a simulated clock.
 type network struct {
-	p        member.Params
+	params   member.Params
 	now      time.Time
 	rand     *rand.Rand
 	nodes    map[string]*node
@@ -32,19 +32,19 @@
 const step = 50 * time.Millisecond
 
 func newNetwork(seed uint64) *network {
-	return &network{p: member.DefaultParams, now: time.Unix(1000, 0), rand: rand.New(rand.NewPCG(seed, 1)), nodes: map[string]*node{}}
+	return &network{params: member.DefaultParams, now: time.Unix(1000, 0), rand: rand.New(rand.NewPCG(seed, 1)), nodes: map[string]*node{}}
 }
 
-func (w *network) name(i int) string { return fmt.Sprintf("n%03d", i) }
+func (w *network) nodeName(i int) string { return fmt.Sprintf("n%03d", i) }
 
-// join adds n instances, each of which greets one at random.
+// join adds n instances, each of which contacts one random other instance.
 func (w *network) join(n int) {
 	for range n {
-		name := w.name(len(w.nodes))
+		name := w.nodeName(len(w.nodes))
 		self := member.Member{Name: name, Address: name, Zone: "z", Incarnation: uint64(w.now.UnixMilli())}
-		nd := &node{m: member.New(w.p, self, w.rand.IntN)}
+		nd := &node{m: member.New(w.params, self, w.rand.IntN)}
 		if len(w.nodes) > 0 {
-			seed := w.nodes[w.name(w.rand.IntN(len(w.nodes)))]
+			seed := w.nodes[w.nodeName(w.rand.IntN(len(w.nodes)))]
 			seed.m.Receive([]member.Member{self}, w.now)
 			nd.m.Receive(seed.m.Members(), w.now)
 		}
@@ -52,7 +52,7 @@
 	}
 }
 
-// exchange is one call and its answer; false if either was lost.
+// exchange simulates one call and its reply; it returns false if either was lost.
 func (w *network) exchange(from, to *node, updates []member.Member) bool {
 	w.count(updates)
 	if to == nil || to.down || w.rand.Float64() < w.loss {
@@ -60,12 +60,12 @@
 	}
 	to.m.Receive([]member.Member{from.m.Self()}, w.now)
 	to.m.Receive(updates, w.now)
-	back := to.m.UpdatesFor(from.m.Self().Name)
-	w.count(back)
+	reply := to.m.UpdatesFor(from.m.Self().Name)
+	w.count(reply)
 	if w.rand.Float64() < w.loss {
 		return false
 	}
-	from.m.Receive(back, w.now)
+	from.m.Receive(reply, w.now)
 	return true
 }
 
@@ -78,11 +78,12 @@
 	w.bytes += len(data)
 }
 
-// run advances the network, in the order of names so that it is repeatable.
+// run advances the network by d. It ticks the nodes in the order of their names,
+// so that runs are reproducible.
 func (w *network) run(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(step) {
 		for i := range len(w.nodes) {
-			if n := w.nodes[w.name(i)]; !n.down {
+			if n := w.nodes[w.nodeName(i)]; !n.down {
 				w.tick(n)
 			}
 		}
@@ -96,21 +97,21 @@
 			continue
 		}
 		reached := false
-		around := n.m.DirectProbeFailed(p.To, w.now)
-		for _, q := range around {
+		indirect := n.m.DirectProbeFailed(p.To, w.now)
+		for _, q := range indirect {
 			via := w.nodes[q.Via]
 			reached = reached || (w.exchange(n, via, q.Updates) && w.exchange(via, w.nodes[q.To], via.m.UpdatesFor(q.To)))
 		}
 		if reached {
 			n.m.Ack(p.To, w.now)
-		} else if len(around) > 0 {
+		} else if len(indirect) > 0 {
 			n.m.ProbeFailed(p.To, w.now)
 		}
 	}
 }
 
-// believed counts the live instances that hold name in the given state.
-func (w *network) believed(name string, s member.State) int {
+// countInState counts the live instances that know name in the given state.
+func (w *network) countInState(name string, s member.State) int {
 	count := 0
 	for _, n := range w.nodes {
 		if n.down {
@@ -125,19 +126,19 @@
 	return count
 }
 
-// TestJoin: instances that each greeted one other know all.
+// TestJoin: instances that each contacted one other learn of all.
 func TestJoin(t *testing.T) {
 	is := is.New(t)
 	w := newNetwork(1)
 	w.join(40)
 	w.run(15 * time.Second)
 	for name := range w.nodes {
-		is.Equal(w.believed(name, member.Alive), 40)
+		is.Equal(w.countInState(name, member.Alive), 40)
 	}
 }
 
-// TestDeath: one that dies is known dead everywhere within a bounded time.
-func TestDeath(t *testing.T) {
+// TestFailureDetection: all live instances declare a failed one dead within a bounded time.
+func TestFailureDetection(t *testing.T) {
 	for _, n := range []int{8, 32, 128} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			is := is.New(t)
@@ -146,7 +147,7 @@
 			w.run(20 * time.Second)
 			w.nodes["n003"].down = true
 			start := w.now
-			for w.believed("n003", member.Alive)+w.believed("n003", member.Suspect) > 0 {
+			for w.countInState("n003", member.Alive)+w.countInState("n003", member.Suspect) > 0 {
 				w.run(step)
 				is.True(w.now.Sub(start) < 20*time.Second)
 			}
@@ -155,63 +156,64 @@
 	}
 }
 
-// TestNoFalseDeath: with one message in ten lost, and with pauses shorter than
-// the suspicion, no live instance is called dead.
-func TestNoFalseDeath(t *testing.T) {
+// TestNoFalsePositives: with one message in ten lost, and with pauses shorter than
+// the suspicion timeout, no live instance is declared dead.
+func TestNoFalsePositives(t *testing.T) {
 	is := is.New(t)
 	w := newNetwork(3)
 	w.join(32)
 	w.run(15 * time.Second)
 	w.loss = 0.1
 	for i := range 20 {
-		paused := w.nodes[w.name(i)]
+		paused := w.nodes[w.nodeName(i)]
 		paused.down = true
 		w.run(time.Second)
 		paused.down = false
 		w.run(2 * time.Second)
 		for name := range w.nodes {
-			is.Equal(w.believed(name, member.Dead), 0)
+			is.Equal(w.countInState(name, member.Dead), 0)
 		}
 	}
 }
 
-// TestReturn: one that was called dead while it was frozen refutes it.
-func TestReturn(t *testing.T) {
+// TestRefutation: an instance that was declared dead while it was paused refutes
+// it when it resumes.
+func TestRefutation(t *testing.T) {
 	is := is.New(t)
 	w := newNetwork(4)
 	w.join(16)
 	w.run(10 * time.Second)
 	w.nodes["n005"].down = true
 	w.run(15 * time.Second)
-	is.Equal(w.believed("n005", member.Dead), 15)
+	is.Equal(w.countInState("n005", member.Dead), 15)
 	w.nodes["n005"].down = false
 	w.run(15 * time.Second)
-	is.Equal(w.believed("n005", member.Alive), 16)
+	is.Equal(w.countInState("n005", member.Alive), 16)
 }
 
-// TestLeave: a goodbye is not a death, and it stands.
+// TestLeave: an instance that left is known as left, and stays so.
 func TestLeave(t *testing.T) {
 	is := is.New(t)
 	w := newNetwork(5)
 	w.join(16)
 	w.run(10 * time.Second)
-	gone := w.nodes["n007"]
-	for _, p := range gone.m.Leave() {
-		w.exchange(gone, w.nodes[p.To], p.Updates)
+	leaver := w.nodes["n007"]
+	for _, p := range leaver.m.Leave() {
+		w.exchange(leaver, w.nodes[p.To], p.Updates)
 	}
-	gone.down = true
+	leaver.down = true
 	w.run(10 * time.Second)
-	is.Equal(w.believed("n007", member.Left), 15)
+	is.Equal(w.countInState("n007", member.Left), 15)
 }
 
-// TestGarbage: whatever updates come, in whatever order and however often, the
-// instance stays alive to itself, its incarnation only rises, and memory is
-// bounded.
-func TestGarbage(t *testing.T) {
+// TestArbitraryUpdates: whatever updates arrive, in any order and any number of
+// times, the instance regards itself as alive, its incarnation never decreases,
+// and memory is bounded.
+func TestArbitraryUpdates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := member.DefaultParams
-		p.MaxMembers = 20
-		m := member.New(p, member.Member{Name: "self", Address: "a", Incarnation: 5}, func(int) int { return 0 })
+		params := member.DefaultParams
+		params.MaxMembers = 20
+		m := member.New(params, member.Member{Name: "self", Address: "a", Incarnation: 5}, func(int) int { return 0 })
 		updates := rapid.SliceOf(rapid.Custom(func(t *rapid.T) member.Member {
 			return member.Member{Name: rapid.SampledFrom([]string{"self", "x", "y", ""}).Draw(t, "name") + rapid.StringMatching(`[0-9]{0,2}`).Draw(t, "n"),
 				Address: rapid.SampledFrom([]string{"a", "b", ""}).Draw(t, "address"), Incarnation: rapid.Uint64Range(0, 1<<40).Draw(t, "incarnation"),
@@ -227,15 +229,15 @@
 				t.Fatalf("self is %+v", self)
 			}
 			last = m.Self().Incarnation
-			if len(m.Members()) > p.MaxMembers+1 {
+			if len(m.Members()) > params.MaxMembers+1 {
 				t.Fatalf("%d members", len(m.Members()))
 			}
 		}
 	})
 }
 
-// BenchmarkGossip is what one instance sends in a quiet second, by the number
-// of instances, and what a second in which one dies adds.
+// BenchmarkGossip measures what one instance sends per second while membership
+// does not change, for several numbers of instances.
 func BenchmarkGossip(b *testing.B) {
 	for _, n := range []int{8, 16, 32, 64, 128} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/core/member/seed_test.go
+++ b/internal/core/member/seed_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// The properties are checked on the same draws each run.
+// Fixes the seed of the property tests so that every run draws the same values.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
