--- a/internal/core/rollout/plan.go
+++ b/internal/core/rollout/plan.go
@@ -5,121 +5,125 @@
 	"time"
 )
 
-// DefaultMaxLoads is how many weight loads may run at once over the whole fleet: the
-// weight store is rate-limited (brief, "Sizes of today").
+// DefaultMaxLoads is how many weight loads a new Planner lets run at once over the whole
+// fleet. It is low because the weight store is rate-limited.
 const DefaultMaxLoads = 3
 
 const (
-	// leastLoads is how many may load at once in the smallest fleet of targets.
-	leastLoads = 2
-	// loadParts is the part of a fleet's targets that may load at once: a fifth. The weight
-	// stores of fleets of 9, 18 and 60 bear 2, 3 and 12 loads without slowing them, and
-	// what loads is missed: three of nine at a time cost 0.08 of a quiet day's worth, as
-	// users value their answers, by refusals and waiting for the others.
-	loadParts = 5
-	// mostRounds bounds how often a part of the fleet loads after another: with 1.4 s a
-	// round a rollout then takes 9 s, of the 10 s that it may.
-	mostRounds = 6
+	// minLoads is how many targets may load at once in the smallest fleet.
+	minLoads = 2
+	// loadDivisor lets a fifth of a fleet's targets load at once. The weight stores of fleets
+	// of 9, 18 and 60 targets serve 2, 3 and 12 concurrent loads without slowing down. A
+	// target that loads serves no requests: with three of nine loading at a time, rejected
+	// requests and queueing at the others cost 0.08 of the value that users put on the
+	// responses of a day of low load.
+	loadDivisor = 5
+	// maxRounds bounds the number of consecutive rounds of loads in a rollout: at 1.4 s per
+	// round it takes 9 s, within its limit of 10 s.
+	maxRounds = 6
 )
 
-// MaxConcurrentLoads is how many weight loads may run at once in a fleet of targets.
+// MaxConcurrentLoads returns how many weight loads may run at once in a fleet of that many
+// targets.
 func MaxConcurrentLoads(targets int) int {
-	return max(leastLoads, targets/loadParts, (targets+mostRounds-1)/mostRounds)
+	return max(minLoads, targets/loadDivisor, (targets+maxRounds-1)/maxRounds)
 }
 
-// Target is a target as the planner sees it.
+// Target is the state of one target, as input of Planner.Plan.
 type Target struct {
 	Name    string
 	Model   string
-	Version string // "" while it loads or is not known
+	Version string // weight version; "" while it loads or if unknown
 	Ready   bool
 	Loading bool
 }
 
-// DesiredVersion is what the configuration wants of a model.
+// DesiredVersion is what the configuration requires of a model.
 type DesiredVersion struct {
 	Version  string
-	Allowed  []string
-	MinReady float64 // share of the model's targets that must stay ready
+	Allowed  []string // versions that may be served, best last
+	MinReady float64  // share of the model's targets that must stay ready
 }
 
-// Load is an order to give.
+// Load is an order to a target to load a version of a model's weights.
 type Load struct{ Target, Model, Version string }
 
-// pending is an order that was given and not yet seen to have worked.
-type pending struct {
-	version string
-	at      time.Time
+// pendingLoad is a planned load whose end is not known yet.
+type pendingLoad struct {
+	version   string
+	plannedAt time.Time
 }
 
-// Planner chooses loads. It belongs to the lease's holder; what it forgets when
-// the holder changes is found again by looking at the targets.
+// Planner chooses the loads of a rollout. Only the lease's holder uses one. Its state need
+// not survive a change of holder: the new holder rebuilds it from the targets' state. It is
+// not safe for concurrent use.
 type Planner struct {
-	flying map[string]pending
-	bad    map[string][]string // versions by model that would not load
-	quiet  time.Time           // no order before: another's may be under way
-	grace  time.Duration       // longest time an order may take
-	most   int                 // loads that may run at once
-	ahead  int                 // loads planned beyond those that may run
+	pending     map[string]pendingLoad // by target
+	bad         map[string][]string    // by model, versions that failed to load
+	holdUntil   time.Time              // no orders before, since an earlier holder's may still run
+	loadTimeout time.Duration          // longest duration of a load
+	maxLoads    int                    // loads that may run at once
+	ahead       int                    // loads planned beyond maxLoads
 }
 
-// NewPlanner returns a planner for orders that take grace at most.
-func NewPlanner(grace time.Duration) *Planner {
-	return &Planner{flying: map[string]pending{}, bad: map[string][]string{}, grace: grace, most: DefaultMaxLoads}
+// NewPlanner returns a planner for loads that take loadTimeout at most.
+func NewPlanner(loadTimeout time.Duration) *Planner {
+	return &Planner{pending: map[string]pendingLoad{}, bad: map[string][]string{}, loadTimeout: loadTimeout, maxLoads: DefaultMaxLoads}
 }
 
-// LeaseAcquired says that the lease was newly taken at now: for the longest time that an
-// earlier holder's orders may be under way, none are given.
+// LeaseAcquired records that this instance acquired the lease at now. Plan returns no loads
+// until loadTimeout has passed, since loads that an earlier holder ordered may still run.
 func (p *Planner) LeaseAcquired(now time.Time) {
-	p.quiet = now.Add(p.grace)
-	p.flying = map[string]pending{}
+	p.holdUntil = now.Add(p.loadTimeout)
+	p.pending = map[string]pendingLoad{}
 }
 
-// SetLimits sets how many loads may run at once, and how many more may be planned, for
-// targets that must be made ready for theirs. Who sends the orders holds to most.
-func (p *Planner) SetLimits(most, ahead int) { p.most, p.ahead = most, ahead }
+// SetLimits sets how many loads may run at once, and how many more Plan may return so that
+// their targets can be prepared. The caller must not send more than maxLoads at once.
+func (p *Planner) SetLimits(maxLoads, ahead int) { p.maxLoads, p.ahead = maxLoads, ahead }
 
-// SetBadVersions replaces what is known of bad versions.
+// SetBadVersions replaces the versions that failed to load, by model.
 func (p *Planner) SetBadVersions(bad map[string][]string) { p.bad = bad }
 
-// BadVersions returns the versions that would not load, by model.
+// BadVersions returns the versions that failed to load, by model.
 func (p *Planner) BadVersions() map[string][]string { return p.bad }
 
-// LoadEnded takes the end of an order. A version that a target could not load is
-// bad: the rollout stops and goes back.
+// LoadEnded records the end of a load. A version that a target could not load (refused) is
+// bad: its rollout stops and is rolled back.
 func (p *Planner) LoadEnded(l Load, refused bool) {
-	delete(p.flying, l.Target)
+	delete(p.pending, l.Target)
 	if refused && !slices.Contains(p.bad[l.Model], l.Version) {
 		p.bad[l.Model] = append(p.bad[l.Model], l.Version)
 	}
 }
 
-// EffectiveVersion is the version that a model shall have: the configured one, or if that
-// is bad the best other allowed one; "" if there is none.
-func (p *Planner) EffectiveVersion(model string, w DesiredVersion) string {
-	if !slices.Contains(p.bad[model], w.Version) {
-		return w.Version
+// EffectiveVersion returns the version that a model's targets are to serve: the configured
+// one, or if that is bad the best allowed one that is not; "" if there is none.
+func (p *Planner) EffectiveVersion(model string, desired DesiredVersion) string {
+	if !slices.Contains(p.bad[model], desired.Version) {
+		return desired.Version
 	}
-	for i := len(w.Allowed) - 1; i >= 0; i-- {
-		if !slices.Contains(p.bad[model], w.Allowed[i]) {
-			return w.Allowed[i]
+	for i := len(desired.Allowed) - 1; i >= 0; i-- {
+		if !slices.Contains(p.bad[model], desired.Allowed[i]) {
+			return desired.Allowed[i]
 		}
 	}
 	return ""
 }
 
-// Plan returns the loads to order now, or to prepare. Never more than the limit are
-// under way at once, and no model falls below its share of ready targets.
-func (p *Planner) Plan(targets []Target, wishes map[string]DesiredVersion, now time.Time) []Load {
-	if now.Before(p.quiet) {
+// Plan returns the loads to order or prepare now. It keeps to the limits of SetLimits and
+// leaves each model at least its MinReady share of ready targets; targets that serve a version
+// that is not allowed are loaded regardless of that share.
+func (p *Planner) Plan(targets []Target, desired map[string]DesiredVersion, now time.Time) []Load {
+	if now.Before(p.holdUntil) {
 		return nil
 	}
-	busy := 0
+	loading := 0
 	total, ready := map[string]int{}, map[string]int{}
 	for _, t := range targets {
-		p.observe(t, now)
-		if _, flying := p.flying[t.Name]; flying || t.Loading {
-			busy++
+		p.updatePending(t, now)
+		if _, pending := p.pending[t.Name]; pending || t.Loading {
+			loading++
 		} else if t.Ready {
 			ready[t.Model]++
 		}
@@ -127,32 +131,33 @@
 	}
 	var out []Load
 	for _, t := range targets {
-		w, ok := wishes[t.Model]
-		version := p.EffectiveVersion(t.Model, w)
-		_, flying := p.flying[t.Name]
-		if !ok || version == "" || t.Version == version || flying || t.Loading || busy >= p.most+p.ahead {
+		want, ok := desired[t.Model]
+		version := p.EffectiveVersion(t.Model, want)
+		_, pending := p.pending[t.Name]
+		if !ok || version == "" || t.Version == version || pending || t.Loading || loading >= p.maxLoads+p.ahead {
 			continue
 		}
-		if t.Ready && slices.Contains(w.Allowed, t.Version) && ready[t.Model]-1 < floor(w.MinReady, total[t.Model]) {
-			continue // it still serves, and it is needed
+		if t.Ready && slices.Contains(want.Allowed, t.Version) && ready[t.Model]-1 < minReadyTargets(want.MinReady, total[t.Model]) {
+			continue // it serves an allowed version and is needed for MinReady
 		}
 		if t.Ready {
 			ready[t.Model]--
 		}
-		busy++
-		p.flying[t.Name] = pending{version: version, at: now}
+		loading++
+		p.pending[t.Name] = pendingLoad{version: version, plannedAt: now}
 		out = append(out, Load{Target: t.Name, Model: t.Model, Version: version})
 	}
 	return out
 }
 
-// observe forgets an order that is seen to have worked, or that is older than
-// any order can be: it is then given again.
-func (p *Planner) observe(t Target, now time.Time) {
-	f, ok := p.flying[t.Name]
-	if ok && (t.Version == f.version || now.Sub(f.at) > p.grace) {
-		delete(p.flying, t.Name)
+// updatePending removes the target's pending load if the target serves the version, or if the
+// load is older than loadTimeout, so that Plan may return it again.
+func (p *Planner) updatePending(t Target, now time.Time) {
+	pending, ok := p.pending[t.Name]
+	if ok && (t.Version == pending.version || now.Sub(pending.plannedAt) > p.loadTimeout) {
+		delete(p.pending, t.Name)
 	}
 }
 
-func floor(share float64, total int) int { return int(share * float64(total)) }
+// minReadyTargets returns how many of total targets must stay ready.
+func minReadyTargets(share float64, total int) int { return int(share * float64(total)) }
