--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -1,9 +1,9 @@
-// Package drain ends an HTTP server without losing a request that its callers have sent.
+// Package drain shuts an HTTP server down without losing a request that callers have sent.
 //
-// http.Server.Shutdown closes connections on which a request is read after it was called,
-// without an answer, and callers can't tell that the request did not run. So nothing is
-// shut down here before the server is quiet: requests that come meanwhile are served, and
-// their answers end their connections if the handler says so.
+// http.Server.Shutdown closes connections on which a request arrives after the call, without a
+// response, and callers can't tell that the request did not run. This package therefore calls
+// Shutdown only when no connection is in use any more. Requests that arrive before that are
+// served, and their responses close the connections if the handler asks for it.
 package drain
 
 import (
@@ -16,120 +16,125 @@
 	"github.com/shedhoist/shedhoist/internal/wait"
 )
 
-// pollEvery is how often a stop looks whether the server is quiet.
-const pollEvery = 20 * time.Millisecond
+// pollInterval is the interval at which Stop checks whether the connections are drained.
+const pollInterval = 20 * time.Millisecond
 
-// Conns are the connections of a server. The zero value knows of none. Attach must be called
-// before the server serves.
+// Conns tracks the open connections of a server. The zero value is ready for use. Attach must be
+// called before the server serves.
 type Conns struct {
-	mu sync.Mutex
-	m  map[net.Conn]use
+	mu     sync.Mutex
+	states map[net.Conn]connState
 }
 
-// use is what a connection does, and since when.
-type use struct {
+// connState is the state of a connection and the time when it began.
+type connState struct {
 	state http.ConnState
 	since time.Time
 }
 
-// Attach makes the server tell of its connections, and lets no request begin on one that was
-// closed. It calls the server's own ConnState hook as well.
+// Attach installs hooks in the server that track its connections and abort requests that begin on
+// a connection that was closed. The server's own ConnState hook is still called.
 func (c *Conns) Attach(srv *http.Server) {
 	hook, next := srv.ConnState, srv.Handler
-	srv.ConnState = func(conn net.Conn, s http.ConnState) {
+	srv.ConnState = func(conn net.Conn, state http.ConnState) {
 		if hook != nil {
-			hook(conn, s)
+			hook(conn, state)
 		}
-		c.SetState(conn, s)
+		c.SetState(conn, state)
 	}
 	srv.ConnContext = func(ctx context.Context, conn net.Conn) context.Context {
-		return context.WithValue(ctx, connKey{}, conn)
+		return context.WithValue(ctx, connContextKey{}, conn)
 	}
 	srv.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		conn, _ := r.Context().Value(connKey{}).(net.Conn)
-		if !c.begin(conn) {
-			panic(http.ErrAbortHandler) // its caller has seen the connection end
+		conn, _ := r.Context().Value(connContextKey{}).(net.Conn)
+		if !c.beginRequest(conn) {
+			panic(http.ErrAbortHandler) // the caller has seen the connection close
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// connKey is the context's key of a request's connection.
-type connKey struct{}
+// connContextKey is the key of the connection in a request's context.
+type connContextKey struct{}
 
-// SetState takes a change of a connection's state.
-func (c *Conns) SetState(conn net.Conn, s http.ConnState) {
+// SetState records a change of a connection's state.
+func (c *Conns) SetState(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.m == nil {
-		c.m = map[net.Conn]use{}
+	if c.states == nil {
+		c.states = map[net.Conn]connState{}
 	}
-	_, open := c.m[conn]
+	_, open := c.states[conn]
 	switch {
-	case s == http.StateClosed, s == http.StateHijacked:
-		delete(c.m, conn)
-	case s == http.StateNew, open: // else it was closed by a stop
-		c.m[conn] = use{state: s, since: time.Now()}
+	case state == http.StateClosed, state == http.StateHijacked:
+		delete(c.states, conn)
+	case state == http.StateNew, open: // else closeUnused has closed it
+		c.states[conn] = connState{state: state, since: time.Now()}
 	}
 }
 
-// begin notes that a request begins on a connection; it returns false if that was closed.
-func (c *Conns) begin(conn net.Conn) bool {
+// beginRequest marks a connection as active; it returns false if the connection was closed.
+func (c *Conns) beginRequest(conn net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	u, open := c.m[conn]
-	if open && u.state != http.StateActive {
-		c.m[conn] = use{state: http.StateActive, since: time.Now()}
+	current, open := c.states[conn]
+	if open && current.state != http.StateActive {
+		c.states[conn] = connState{state: http.StateActive, since: time.Now()}
 	}
 	return open
 }
 
-// quiet says whether no connection has a request in hand or may bring one, in a stop that
-// began at that time. It closes those that have brought none for as long as linger, and once
-// the stop has lasted as long each that is unused: an answer that ends later leaves a
-// connection whose caller was not told to go elsewhere, and little time for what it would send.
-func (c *Conns) quiet(began, now time.Time, linger time.Duration) bool {
+// closeUnused closes unused connections in a stop that began at began, and returns whether none
+// is left that has a request running or may still carry one. It closes connections that have
+// been idle for linger and, once the stop has lasted for linger, all idle ones and those on
+// which no first request has arrived for linger. The caller of a response that ends so late was
+// not told to go elsewhere, and little time would be left for its next request.
+func (c *Conns) closeUnused(began, now time.Time, linger time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	quiet := true
-	for conn, u := range c.m {
-		unused := now.Sub(u.since)
+	drained := true
+	for conn, current := range c.states {
+		unused := now.Sub(current.since)
 		switch {
-		case u.state == http.StateActive,
-			u.state == http.StateNew && min(unused, now.Sub(began)) < linger,
-			u.state == http.StateIdle && max(unused, now.Sub(began)) < linger:
-			quiet = false
+		case current.state == http.StateActive,
+			current.state == http.StateNew && min(unused, now.Sub(began)) < linger,
+			current.state == http.StateIdle && max(unused, now.Sub(began)) < linger:
+			drained = false
 		default:
 			conn.Close()
-			delete(c.m, conn)
+			delete(c.states, conn)
 		}
 	}
-	return quiet
+	return drained
 }
 
-// await returns once all is quiet, or with ctx's error.
-func (c *Conns) await(ctx context.Context, linger time.Duration) error {
-	for began := time.Now(); !c.quiet(began, time.Now(), linger); {
-		if !wait.For(ctx, pollEvery) {
+// awaitDrained returns nil once all connections are closed, or ctx's error if ctx has ended.
+func (c *Conns) awaitDrained(ctx context.Context, linger time.Duration) error {
+	for began := time.Now(); !c.closeUnused(began, time.Now(), linger); {
+		if !wait.For(ctx, pollInterval) {
 			return ctx.Err()
 		}
 	}
 	return ctx.Err()
 }
 
-// Stop ends a server whose callers were told to go elsewhere. A connection that is unused for
-// as long as linger is closed, and so is one on which no whole request has come by then: a
-// caller that chose this server before it was taken out of rotation has sent by then, unless
-// its machine is held up for longer. One that falls unused later is closed at once. New ones
-// are accepted for half as long: where a balancer has nobody else to send callers to they come
-// without end, and what is in hand must not wait for them. If ctx ends first Stop returns
-// ctx's error, and what is in hand goes on: it is the caller's to cut.
+// Stop shuts down a server that was already taken out of rotation.
+//
+// A connection that carries no request for linger is closed, and so is a new one on which no
+// complete request has arrived by then: a caller that chose this server before it was taken out
+// of rotation has sent its request within linger, unless its machine is stalled for longer.
+// Connections that become idle after linger are closed at once. New connections are accepted for
+// linger/2: a load balancer without another server to choose keeps opening them, and the running
+// requests must not wait for them.
+//
+// If ctx ends first Stop returns ctx's error and the running requests continue; aborting them is
+// up to the caller.
 func Stop(ctx context.Context, srv *http.Server, ln net.Listener, conns *Conns, linger time.Duration) error {
-	accept, cancel := context.WithTimeout(ctx, linger/2)
+	acceptCtx, cancel := context.WithTimeout(ctx, linger/2)
 	defer cancel()
-	_ = conns.await(accept, linger) // that callers still come is no failure
+	_ = conns.awaitDrained(acceptCtx, linger) // callers may still connect; that is no failure
 	ln.Close()
-	if err := conns.await(ctx, linger); err != nil {
+	if err := conns.awaitDrained(ctx, linger); err != nil {
 		return err
 	}
 	return srv.Shutdown(ctx)
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -9,8 +9,9 @@
 	"github.com/matryer/is"
 )
 
-// TestClosedBringsNothing guards against a request that is begun though its connection was closed.
-func TestClosedBringsNothing(t *testing.T) {
+// TestNoRequestBeginsOnClosedConn guards against a request that begins on a connection that a stop
+// has just closed.
+func TestNoRequestBeginsOnClosedConn(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	var c Conns
@@ -18,15 +19,15 @@
 	for _, conn := range []net.Conn{first, second} {
 		c.SetState(conn, http.StateNew)
 		c.SetState(conn, http.StateIdle)
-		is.True(c.begin(conn))
+		is.True(c.beginRequest(conn))
 		c.SetState(conn, http.StateIdle)
 	}
-	is.True(c.begin(first))
-	is.True(!c.quiet(now, now.Add(time.Hour), time.Second)) // first has a request in hand
-	is.True(c.begin(first))
-	is.True(!c.begin(second)) // it was closed before
+	is.True(c.beginRequest(first))
+	is.True(!c.closeUnused(now, now.Add(time.Hour), time.Second)) // a request runs on first
+	is.True(c.beginRequest(first))
+	is.True(!c.beginRequest(second)) // closeUnused has closed it
 	c.SetState(first, http.StateIdle)
-	is.True(!c.quiet(now, time.Now(), time.Hour)) // it was used just now
-	is.True(c.quiet(now, time.Now().Add(time.Hour), time.Second))
-	is.True(!c.begin(first))
+	is.True(!c.closeUnused(now, time.Now(), time.Hour)) // it became idle just now
+	is.True(c.closeUnused(now, time.Now().Add(time.Hour), time.Second))
+	is.True(!c.beginRequest(first))
 }
--- a/internal/drain/linger_test.go
+++ b/internal/drain/linger_test.go
@@ -10,20 +10,21 @@
 	"github.com/matryer/is"
 )
 
-// TestNoneBeginsLate guards against a connection kept for another request late in a stop, with no time left for it.
-func TestNoneBeginsLate(t *testing.T) {
+// TestLateIdleConnIsClosed guards against a connection that stays open for another request late in
+// a stop, when no time is left to serve it.
+func TestLateIdleConnIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const linger = time.Second
 		var c Conns
 		conn := &net.TCPConn{}
 		c.SetState(conn, http.StateNew)
-		is.True(c.begin(conn)) // a long answer, begun before the stop
+		is.True(c.beginRequest(conn)) // a long response, begun before the stop
 		began := time.Now()
 		time.Sleep(5 * linger)
-		is.True(!c.quiet(began, time.Now(), linger))
+		is.True(!c.closeUnused(began, time.Now(), linger))
 		c.SetState(conn, http.StateIdle)
-		is.True(c.quiet(began, time.Now(), linger))
-		is.True(!c.begin(conn))
+		is.True(c.closeUnused(began, time.Now(), linger))
+		is.True(!c.beginRequest(conn))
 	})
 }
--- a/internal/drain/schedule.go
+++ b/internal/drain/schedule.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// Schedule are those of one stop.
+// Schedule holds the times of one stop. A nil Schedule means that no stop is under way.
 type Schedule struct {
-	// AcceptUntil is how long requests are taken however long they may last.
+	// AcceptUntil is the time until which requests are accepted whatever their deadline.
 	AcceptUntil time.Time
-	// AbortAt is when what is left is cut.
+	// AbortAt is the time at which the requests still running are aborted.
 	AbortAt time.Time
 }
 
-// ResponseMargin is what is left to answer a request whose deadline has passed, before a stop cuts.
+// ResponseMargin is the time reserved before AbortAt for responses to requests whose deadline has
+// passed.
 const ResponseMargin = 50 * time.Millisecond
 
-// WouldAbort says whether a request that has come whole only now, and ends by its deadline, could
-// be cut by the stop. No stop cuts nothing.
-func (t *Schedule) WouldAbort(now, deadline time.Time) bool {
-	return t != nil && now.After(t.AcceptUntil) && deadline.After(t.AbortAt.Add(-ResponseMargin))
+// WouldAbort reports whether the stop could abort a request that has been received completely at
+// now and runs until its deadline.
+func (s *Schedule) WouldAbort(now, deadline time.Time) bool {
+	return s != nil && now.After(s.AcceptUntil) && deadline.After(s.AbortAt.Add(-ResponseMargin))
 }
--- a/internal/drain/schedule_test.go
+++ b/internal/drain/schedule_test.go
@@ -7,16 +7,16 @@
 	"github.com/matryer/is"
 )
 
-// TestWouldCut guards against a stop that takes late what it cuts, at the edges of its times, and
-// against one that refuses what ends in time, or refuses before it has begun.
-func TestWouldCut(t *testing.T) {
+// TestWouldAbort guards against a stop that accepts a late request which it then aborts, and against
+// one that refuses requests that end in time or arrive before AcceptUntil or without a stop.
+func TestWouldAbort(t *testing.T) {
 	is := is.New(t)
 	began := time.Now()
-	stop := &Schedule{AcceptUntil: began.Add(time.Second), AbortAt: began.Add(time.Minute)}
-	last := stop.AbortAt.Add(-ResponseMargin)
-	is.True(!stop.WouldAbort(stop.AcceptUntil, last.Add(time.Hour)))
-	is.True(!stop.WouldAbort(stop.AcceptUntil.Add(1), last))
-	is.True(stop.WouldAbort(stop.AcceptUntil.Add(1), last.Add(1)))
-	var none *Schedule
-	is.True(!none.WouldAbort(began, last.Add(time.Hour)))
+	schedule := &Schedule{AcceptUntil: began.Add(time.Second), AbortAt: began.Add(time.Minute)}
+	lastDeadline := schedule.AbortAt.Add(-ResponseMargin)
+	is.True(!schedule.WouldAbort(schedule.AcceptUntil, lastDeadline.Add(time.Hour)))
+	is.True(!schedule.WouldAbort(schedule.AcceptUntil.Add(1), lastDeadline))
+	is.True(schedule.WouldAbort(schedule.AcceptUntil.Add(1), lastDeadline.Add(1)))
+	var notStopping *Schedule
+	is.True(!notStopping.WouldAbort(began, lastDeadline.Add(time.Hour)))
 }
