--- a/internal/inflight/inflight.go
+++ b/internal/inflight/inflight.go
@@ -1,4 +1,4 @@
-// Package inflight counts an instance's own work at each target.
+// Package inflight tracks the load that this instance's own requests put on each target.
 package inflight
 
 import (
@@ -6,56 +6,57 @@
 	"sync/atomic"
 )
 
-// Loads counts this instance's own work at each target. Use New.
+// Loads holds the load of this instance's requests by target. It is safe for concurrent use. Use
+// New.
 type Loads struct {
 	mu      sync.RWMutex
 	targets map[string]*Load
 }
 
-// Load is the own work at one target.
+// Load is the load of this instance's requests at one target.
 type Load struct {
-	Requests      atomic.Int64
-	PrefillTokens atomic.Int64 // of prompts, not yet computed
-	MemoryTokens  atomic.Int64 // tokens of the target's memory that the runs keep
-	// Responses is the target's towards all that it was asked.
+	Requests      atomic.Int64 // sent and not finished
+	PrefillTokens atomic.Int64 // prompt tokens not computed yet
+	MemoryTokens  atomic.Int64 // tokens that the requests hold in the target's memory
+	// Responses tracks how long the target has not responded to this instance.
 	Responses ResponseTracker
 }
 
-// New returns counters that are all zero.
+// New returns Loads without any target.
 func New() *Loads { return &Loads{targets: map[string]*Load{}} }
 
-// Get returns a target's counters.
+// Get returns a target's load and creates it if there is none.
 func (l *Loads) Get(target string) *Load {
 	l.mu.RLock()
-	e := l.targets[target]
+	load := l.targets[target]
 	l.mu.RUnlock()
-	if e != nil {
-		return e
+	if load != nil {
+		return load
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if e = l.targets[target]; e == nil {
-		e = &Load{}
-		l.targets[target] = e
+	if load = l.targets[target]; load == nil {
+		load = &Load{}
+		l.targets[target] = load
 	}
-	return e
+	return load
 }
 
-// Each calls f for each target that there are counters of.
+// Each calls f for each target that has a load. f must not call l's methods.
 func (l *Loads) Each(f func(target string, load *Load)) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
-	for name, e := range l.targets {
-		f(name, e)
+	for name, load := range l.targets {
+		f(name, load)
 	}
 }
 
-// Retain forgets all targets but those that keep names and those with work.
-func (l *Loads) Retain(keep func(target string) bool) {
+// Retain removes the targets for which retain returns false and no request runs.
+func (l *Loads) Retain(retain func(target string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for name, e := range l.targets {
-		if !keep(name) && e.Requests.Load() == 0 {
+	for name, load := range l.targets {
+		if !retain(name) && load.Requests.Load() == 0 {
 			delete(l.targets, name)
 		}
 	}
--- a/internal/inflight/responses.go
+++ b/internal/inflight/responses.go
@@ -5,38 +5,40 @@
 	"time"
 )
 
-// ResponseTracker is how long a target has answered nothing that it was asked. The zero value has
-// been asked nothing. It is safe for use by several goroutines.
+// ResponseTracker tracks how long a target has not responded to requests. The zero value has seen
+// no request. It is safe for concurrent use.
 type ResponseTracker struct {
-	mu    sync.Mutex
-	since time.Time // of the first request after its last answer; zero: there is none
-	heard time.Time // the last sign of it; zero: never
+	mu              sync.Mutex
+	unansweredSince time.Time // when the first request after the last activity was sent; zero: none
+	lastActivity    time.Time // zero: never
 }
 
-// RecordRequest notes a request that is sent now.
-func (s *ResponseTracker) RecordRequest(now time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.since.IsZero() {
-		s.since = now
+// RecordRequest records that a request is sent at now.
+func (t *ResponseTracker) RecordRequest(now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.unansweredSince.IsZero() {
+		t.unansweredSince = now
 	}
 }
 
-// RecordActivity notes any sign of the target: an answer, or that it closed a connection.
-func (s *ResponseTracker) RecordActivity(now time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.since, s.heard = time.Time{}, now
+// RecordActivity records any sign of life of the target: a response, or that it closed a
+// connection.
+func (t *ResponseTracker) RecordActivity(now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.unansweredSince, t.lastActivity = time.Time{}, now
 }
 
-// UnresponsiveForWithPeers is how long the silence has lasted, if the target has been silent to another instance
-// as well, since a time; zero: to none. What was heard of it since then speaks against that.
-func (s *ResponseTracker) UnresponsiveForWithPeers(others, now time.Time) time.Duration {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	since := s.since
-	if others.After(s.heard) && (since.IsZero() || others.Before(since)) {
-		since = others
+// UnresponsiveForWithPeers returns how long the target has not responded to this instance or to
+// another one, to which it has not responded since peersSince (zero: to none). Activity seen by
+// this instance after peersSince overrides the other instance's observation.
+func (t *ResponseTracker) UnresponsiveForWithPeers(peersSince, now time.Time) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	since := t.unansweredSince
+	if peersSince.After(t.lastActivity) && (since.IsZero() || peersSince.Before(since)) {
+		since = peersSince
 	}
 	if since.IsZero() {
 		return 0
@@ -44,29 +46,30 @@
 	return now.Sub(since)
 }
 
-// RecordAbandoned notes that the request which was sent at a time is not waited for any longer. One
-// that was left so soon that no answer was due says nothing of the target.
-func (s *ResponseTracker) RecordAbandoned(sent, now time.Time, due time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.since.Equal(sent) && now.Sub(sent) < due {
-		s.since = time.Time{}
+// RecordAbandoned records that the request sent at a time is given up without a response. If that
+// happens before minWait has passed the request is not counted as unanswered, since no response
+// was due yet.
+func (t *ResponseTracker) RecordAbandoned(sent, now time.Time, minWait time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.unansweredSince.Equal(sent) && now.Sub(sent) < minWait {
+		t.unansweredSince = time.Time{}
 	}
 }
 
-// LastActivity is the time of the target's last sign; zero: there was none.
-func (s *ResponseTracker) LastActivity() time.Time {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.heard
+// LastActivity returns the time of the target's last activity; zero: there was none.
+func (t *ResponseTracker) LastActivity() time.Time {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.lastActivity
 }
 
-// UnresponsiveFor is how long the silence has lasted.
-func (s *ResponseTracker) UnresponsiveFor(now time.Time) time.Duration {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.since.IsZero() {
+// UnresponsiveFor returns the time since the first unanswered request; 0 if there is none.
+func (t *ResponseTracker) UnresponsiveFor(now time.Time) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.unansweredSince.IsZero() {
 		return 0
 	}
-	return now.Sub(s.since)
+	return now.Sub(t.unansweredSince)
 }
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait holds the waits that edges and stand-ins share.
+// Package wait provides context-aware waits, jitter, Retry-After values and a wake-up signal.
 package wait
 
 import (
@@ -7,53 +7,54 @@
 	"time"
 )
 
-// For waits for d, or until ctx ends; it returns false in the latter case. No
-// time, or less, is no wait.
+// For waits for d and returns true, or false if ctx ends first. It does not wait
+// if d is not positive.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// Jitter spreads a period over half to one and a half of itself, so that
-// instances started together do not act together.
+// Jitter returns a random duration between d/2 and 3d/2, so that instances
+// started together do not run their periodic work in step.
 func Jitter(d time.Duration) time.Duration { return d/2 + rand.N(d+1) }
 
-// MaxRetryAfter bounds the wait that another party asks for, whatever it says.
+// MaxRetryAfter is the upper bound of RetryAfter.
 const MaxRetryAfter = time.Hour
 
-// RetryAfter is the wait that a Retry-After of so many seconds asks for; 0 is none.
+// RetryAfter returns the wait for a Retry-After value in seconds, at most
+// MaxRetryAfter; 0 means no wait.
 func RetryAfter(seconds float64) time.Duration {
-	if !(seconds > 0) { // NaN asks for none
+	if !(seconds > 0) { // also true for NaN
 		return 0
 	}
 	return time.Duration(min(seconds, MaxRetryAfter.Seconds()) * float64(time.Second))
 }
 
-// Signal wakes one goroutine that waits for something to do. Raised several times before
-// it is taken, it wakes once. The nil Signal is never raised.
+// Signal wakes one goroutine that waits for work. If it is raised several times before it is
+// received, it wakes the goroutine once. Raising a nil Signal has no effect.
 type Signal chan struct{}
 
 // NewSignal returns a signal that is not raised.
 func NewSignal() Signal { return make(Signal, 1) }
 
-// Raise wakes who waits, or who waits next.
+// Raise wakes the waiting goroutine, or the next one that waits.
 func (s Signal) Raise() {
 	select {
 	case s <- struct{}{}:
-	default: // it is raised already
+	default: // already raised
 	}
 }
 
-// Wait waits for the signal for d at most, and says whether it came.
+// Wait waits for the signal for at most d and returns whether it was received.
 func (s Signal) Wait(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
