--- a/internal/breaker/breaker.go
+++ b/internal/breaker/breaker.go
@@ -1,4 +1,5 @@
-// Package breaker keeps calls away from targets and stores that fail.
+// Package breaker is a set of circuit breakers. It keeps calls away from targets and stores that
+// fail or that have requested a backoff.
 package breaker
 
 import (
@@ -6,127 +7,132 @@
 	"time"
 )
 
-// Set keeps calls away from what failed, for a while that doubles. Use New.
+// Set holds a circuit breaker for each name. A name that fails is ejected for a time that doubles
+// with each further failure. Use New.
 type Set struct {
-	mu  sync.Mutex
-	now func() time.Time
-	m   map[string]*breaker
+	mu       sync.Mutex
+	now      func() time.Time
+	breakers map[string]*breaker
 
-	failing int // entries with failures
+	failing int // names with failures
 
-	asked map[string]askedRest // see Ask
+	backoffs map[string]backoff // see RequestBackoff
 }
 
 type breaker struct {
-	failures int
-	until    time.Time
-	ends     time.Time // the rest's end; until is later while a call tries the name
-	asked    bool      // the rest that ended last was asked for
+	failures     int
+	openUntil    time.Time
+	ejectionEnd  time.Time // end of the ejection; openUntil is later while a probe is under way
+	afterBackoff bool      // the last ejection was a backoff that the name had requested
 }
 
-// Bounds of a rest.
+// Bounds of an ejection.
 const (
-	restBase = 500 * time.Millisecond
-	restMax  = 30 * time.Second
-	// untriedMost is how long after a rest its trials go to callers that may want another name: one
-	// that fails under load needs more than its rest, and where names are many few want this one.
-	untriedMost = 2 * time.Second
+	minEjection = 500 * time.Millisecond
+	maxEjection = 30 * time.Second
+	// maxUnprobed is how long after the end of an ejection its probes go to any caller, though that
+	// caller may select another name. A name that fails under load needs more than its ejection to
+	// recover; but where there are many names, few callers select this one, so that it would stay
+	// unprobed without a bound.
+	maxUnprobed = 2 * time.Second
 )
 
-// byChoice says whether only a caller that has chosen the name tries it.
-func (e *breaker) byChoice(now time.Time) bool {
-	return e.asked || !now.Before(e.ends.Add(untriedMost))
+// probesOnSelection reports whether the probe goes only to a caller that has selected the name.
+func (e *breaker) probesOnSelection(now time.Time) bool {
+	return e.afterBackoff || !now.Before(e.ejectionEnd.Add(maxUnprobed))
 }
 
-// rest keeps calls away until then.
-func (e *breaker) rest(until time.Time) { e.until, e.ends = until, until }
+// ejectUntil opens the breaker until the given time.
+func (e *breaker) ejectUntil(until time.Time) { e.openUntil, e.ejectionEnd = until, until }
 
-// New returns breakers that are all closed.
-func New(now func() time.Time) *Set { return &Set{now: now, m: map[string]*breaker{}} }
+// New returns a set in which all breakers are closed.
+func New(now func() time.Time) *Set { return &Set{now: now, breakers: map[string]*breaker{}} }
 
-// Allow says whether name may be called. When its rest ends one call at a
-// time tries it, so that its return is no storm.
+// Allow reports whether name may be called. At the end of an ejection it allows one call at a time
+// as a probe, so that waiting calls don't all reach the name at once.
 func (b *Set) Allow(name string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	e := b.m[name]
+	e := b.breakers[name]
 	if e == nil || e.failures == 0 {
 		return true
 	}
 	now := b.now()
-	if now.Before(e.until) {
+	if now.Before(e.openUntil) {
 		return false
 	}
-	e.until = now.Add(restBase)
+	e.openUntil = now.Add(minEjection)
 	return true
 }
 
-// Ejected returns the names that may not be called now since they failed; the common answer is
-// none. The caller is to try those whose rest has ended: others rest on meanwhile. A name that
-// asked for rest is not tried before its end, see Asked.
+// Ejected returns the names that may not be called now because of failures; usually there are none.
+// The caller has to probe the names whose ejection has ended: for others they stay ejected
+// meanwhile. A name in backoff is not probed before the backoff ends, see Backoffs.
 func (b *Set) Ejected() []string {
-	return b.look(func(*breaker, time.Time) bool { return true })
+	return b.ejected(func(*breaker, time.Time) bool { return true })
 }
 
-// EjectedForSelection is Resting for a caller that chooses one of several names: the trial of a name that had
-// asked for its rest, or went untried for long since, is not its own before it has taken it
-// with Try.
+// EjectedForSelection is Ejected for a caller that selects one of several names. It doesn't give
+// this caller the probe of a name whose backoff has ended, or that went unprobed for maxUnprobed:
+// such a probe must be claimed with AllowProbe once the name is selected.
 func (b *Set) EjectedForSelection() []string {
-	return b.look(func(e *breaker, now time.Time) bool { return !e.byChoice(now) })
+	return b.ejected(func(e *breaker, now time.Time) bool { return !e.probesOnSelection(now) })
 }
 
-// look returns the names that rest since they failed. The caller gets the trials that it takes.
-func (b *Set) look(takes func(e *breaker, now time.Time) bool) []string {
+// ejected returns the names that are ejected because of failures. The caller gets the probes for
+// which claimsProbe returns true.
+func (b *Set) ejected(claimsProbe func(e *breaker, now time.Time) bool) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.endAsked()
+	b.expireBackoffs()
 	if b.failing == 0 {
 		return nil
 	}
-	var resting []string
+	var names []string
 	now := b.now()
-	for name, e := range b.m {
-		_, asks := b.asked[name]
+	for name, e := range b.breakers {
+		_, inBackoff := b.backoffs[name]
 		switch {
-		case asks || e.failures < sickAfter:
-		case now.Before(e.until):
-			resting = append(resting, name)
-		case takes(e, now):
-			e.until = now.Add(restBase)
+		case inBackoff || e.failures < ejectAfter:
+		case now.Before(e.openUntil):
+			names = append(names, name)
+		case claimsProbe(e, now):
+			e.openUntil = now.Add(minEjection)
 		}
 	}
-	return resting
+	return names
 }
 
-// AllowProbe says whether name may be called now by a caller that Sick did not tell it rests: one call
-// at a time where the trial is not that of the look.
+// AllowProbe reports whether name may be called now by a caller that has selected it from those
+// that EjectedForSelection didn't return. Where the probe goes only to a caller that has selected
+// the name, it allows one call at a time.
 func (b *Set) AllowProbe(name string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
-	e := b.m[name]
-	if e == nil || e.failures < sickAfter || !e.byChoice(now) {
+	e := b.breakers[name]
+	if e == nil || e.failures < ejectAfter || !e.probesOnSelection(now) {
 		return true
 	}
-	if now.Before(e.until) {
+	if now.Before(e.openUntil) {
 		return false
 	}
-	e.until = now.Add(restBase)
+	e.openUntil = now.Add(minEjection)
 	return true
 }
 
-// sickAfter is how many failures in a row make one sick: one can be the
-// request's own.
-const sickAfter = 2
+// ejectAfter is the number of consecutive failures that eject a name: a single one can be the
+// request's own fault.
+const ejectAfter = 2
 
-// RecordResult notes a call's end.
+// RecordResult records how a call ended.
 func (b *Set) RecordResult(name string, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	e := b.m[name]
+	e := b.breakers[name]
 	if e == nil {
 		e = &breaker{}
-		b.m[name] = e
+		b.breakers[name] = e
 	}
 	if ok {
 		if e.failures > 0 {
@@ -139,48 +145,48 @@
 		b.failing++
 	}
 	e.failures++
-	e.asked = false
-	e.rest(b.now().Add(min(restBase<<min(e.failures-1, 8), restMax)))
+	e.afterBackoff = false
+	e.ejectUntil(b.now().Add(min(minEjection<<min(e.failures-1, 8), maxEjection)))
 }
 
-// Eject keeps calls away from name for at least d, whether or not it failed.
+// Eject keeps calls away from name for at least d, whether or not a call to it failed.
 func (b *Set) Eject(name string, d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	e := b.sicken(name)
+	e := b.markFailing(name)
 	until := b.now().Add(d)
-	if until.Before(e.until) {
-		until = e.until
+	if until.Before(e.openUntil) {
+		until = e.openUntil
 	}
-	e.rest(until)
+	e.ejectUntil(until)
 }
 
-// sicken counts name as one that failed, and returns its entry; b.mu is held.
-func (b *Set) sicken(name string) *breaker {
-	e := b.m[name]
+// markFailing counts name as failing, and returns its breaker; b.mu is held.
+func (b *Set) markFailing(name string) *breaker {
+	e := b.breakers[name]
 	if e == nil {
 		e = &breaker{}
-		b.m[name] = e
+		b.breakers[name] = e
 	}
 	if e.failures == 0 {
 		b.failing++
 	}
-	e.failures, e.asked = max(e.failures, sickAfter), false
+	e.failures, e.afterBackoff = max(e.failures, ejectAfter), false
 	return e
 }
 
-// Retain forgets all names but those that keep names. A rest that was asked for holds until its
-// end: a name may be unknown for a while and come back.
+// Retain forgets the breakers of all names for which keep returns false. Backoffs stay until they
+// end: a name may disappear for a while and come back.
 func (b *Set) Retain(keep func(name string) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for name, e := range b.m {
+	for name, e := range b.breakers {
 		if keep(name) {
 			continue
 		}
 		if e.failures > 0 {
 			b.failing--
 		}
-		delete(b.m, name)
+		delete(b.breakers, name)
 	}
 }
--- a/internal/breaker/breaker_test.go
+++ b/internal/breaker/breaker_test.go
@@ -9,8 +9,9 @@
 	"github.com/shedhoist/shedhoist/internal/breaker"
 )
 
-// TestSet: two failures in a row make a rest that doubles; one call tries it at its
-// end; a success ends it; what is forgotten rests no longer.
+// TestSet checks that two consecutive failures eject a name for a time that doubles, that one call
+// probes it at the end, that a success closes the breaker, and that a forgotten name is no longer
+// ejected.
 func TestSet(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
@@ -20,7 +21,7 @@
 	s.RecordResult("a", false)
 	is.Equal(s.Ejected(), []string{"a"})
 	now = now.Add(time.Second)
-	is.Equal(len(s.Ejected()), 0)        // one request tries it
+	is.Equal(len(s.Ejected()), 0)        // one request probes it
 	is.Equal(s.Ejected(), []string{"a"}) // the others wait
 	s.RecordResult("a", true)
 	is.Equal(len(s.Ejected()), 0)
