--- a/internal/loadreport/late_saves_test.go
+++ b/internal/loadreport/pending_saves_test.go
@@ -9,15 +9,15 @@
 	"github.com/shedhoist/shedhoist/internal/loadreport"
 )
 
-// TestLateSavesOfOthers guards against a late save that is forgotten while it is told, or remembered
-// when it no longer is.
-func TestLateSavesOfOthers(t *testing.T) {
+// TestPendingSavesOfPeers guards against a pending save that is forgotten while a peer reports it,
+// or remembered when no peer reports it any more.
+func TestPendingSavesOfPeers(t *testing.T) {
 	is := is.New(t)
 	l := loadreport.NewPendingSaves(age)
 	now := time.Unix(0, 0)
 	l.Apply("a", 2, []loadreport.Key{1, 2}, now)
 	l.Apply("b", 1, []loadreport.Key{2}, now)
-	l.Apply("a", 1, nil, now) // overtaken
+	l.Apply("a", 1, nil, now) // arrives late
 	is.True(l.Has(1, now) && l.Has(2, now) && !l.Has(3, now))
 	l.Apply("a", 3, nil, now)
 	is.True(!l.Has(1, now) && l.Has(2, now))
--- a/internal/loadreport/silences_test.go
+++ b/internal/loadreport/unresponsive_test.go
@@ -7,9 +7,10 @@
 	"github.com/matryer/is"
 )
 
-// TestSilences: the earliest word counts, a later one of the same instance replaces it, an
-// instance that tells nothing any more has no say.
-func TestSilences(t *testing.T) {
+// TestUnresponsiveTargets checks that the earliest time of all reports counts, that a later report
+// of the same instance replaces its earlier one, and that the reports of an instance that has
+// stopped reporting expire.
+func TestUnresponsiveTargets(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	s := NewUnresponsiveTargets(300 * time.Millisecond)
@@ -27,9 +28,9 @@
 	is.True(s.Since(7, now.Add(300*time.Millisecond)).IsZero())
 }
 
-// TestSilencesInAnyOrder: a late older word does not bring back what a newer one has ended, and of
-// two silences of a target in one word the longer counts.
-func TestSilencesInAnyOrder(t *testing.T) {
+// TestUnresponsiveTargetsReordered guards against an older report that arrives late and undoes a
+// newer one. Of two times for a target in one report the earlier counts.
+func TestUnresponsiveTargetsReordered(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	s := NewUnresponsiveTargets(300 * time.Millisecond)
@@ -40,15 +41,15 @@
 	is.Equal(s.Since(7, now), now.Add(-900*time.Millisecond))
 }
 
-// TestSilencesBounded: a word that names too many targets is cut.
-func TestSilencesBounded(t *testing.T) {
+// TestUnresponsiveTargetsBounded checks that a report which names too many targets is truncated.
+func TestUnresponsiveTargetsBounded(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	told := make([]TargetAge, 10*MaxUnresponsive)
-	for i := range told {
-		told[i] = TargetAge{Target: Key(i), AgeMS: 600}
+	reported := make([]TargetAge, 10*MaxUnresponsive)
+	for i := range reported {
+		reported[i] = TargetAge{Target: Key(i), AgeMS: 600}
 	}
 	s := NewUnresponsiveTargets(time.Second)
-	s.Apply("a", 1, told, now)
+	s.Apply("a", 1, reported, now)
 	is.Equal(len(s.Reports(now)["a"]), MaxUnresponsive)
 }
--- a/internal/loadreport/loads_test.go
+++ b/internal/loadreport/work_test.go
@@ -12,13 +12,14 @@
 
 const age = 400 * time.Millisecond
 
-// TestHeard: neighbours' words add up, fade, and a late one replaces nothing.
-func TestHeard(t *testing.T) {
+// TestPeerWork checks that the peers' reports add up and decay, and that a late older one replaces
+// nothing.
+func TestPeerWork(t *testing.T) {
 	is := is.New(t)
 	h := loadreport.NewPeerWork(age)
 	now := time.Unix(0, 0)
 	key := loadreport.KeyOf("t")
-	take := func(from string, seq uint64, tokens int, at time.Time) {
+	apply := func(from string, seq uint64, tokens int, at time.Time) {
 		h.Apply(from, seq, []loadreport.TargetWork{{Target: key, Tokens: tokens, Memory: 2 * tokens}}, at)
 	}
 	at := func(now time.Time) loadreport.Work {
@@ -31,21 +32,21 @@
 		is.Equal(got[1], sum[key])
 		return got[1]
 	}
-	take("a", 2, 1000, now)
-	take("a", 1, 9000, now) // overtaken
-	take("b", 1, 500, now)
+	apply("a", 2, 1000, now)
+	apply("a", 1, 9000, now) // arrives late
+	apply("b", 1, 500, now)
 	is.Equal(at(now), loadreport.Work{Tokens: 1500, Memory: 3000})
 	half := now.Add(age / 2)
-	is.Equal(at(half), loadreport.Work{Tokens: 750, Memory: 3000}) // what runs keep does not fade
+	is.Equal(at(half), loadreport.Work{Tokens: 750, Memory: 3000}) // occupied memory does not decay
 	h.Apply("a", 3, nil, half)
 	is.Equal(at(half), loadreport.Work{Tokens: 250, Memory: 1000})
 	is.Equal(at(now.Add(2*age)), loadreport.Work{})
-	take("b", 1, 500, now.Add(2*age)) // a new process begins at 1
+	apply("b", 1, 500, now.Add(2*age)) // a new process begins at 1
 	is.Equal(at(now.Add(2*age)), loadreport.Work{Tokens: 500, Memory: 1000})
 }
 
-// TestTold: what is worth telling is told with both its amounts.
-func TestTold(t *testing.T) {
+// TestWorkReport checks that entries with enough work are reported, with both amounts.
+func TestWorkReport(t *testing.T) {
 	is := is.New(t)
 	s := loadreport.WorkByTarget{}
 	s.Add(1, loadreport.Work{Tokens: 255, Memory: 255})
@@ -53,22 +54,24 @@
 	is.Equal(s.Report(), []loadreport.TargetWork{{Target: 2, Memory: 256}})
 }
 
-// BenchmarkAt is what a request asks: 64 candidates of 256 busy targets, 16 neighbours.
+// BenchmarkAt measures what one request costs: up to 64 candidates among 60, 256 or 600 busy
+// targets, 16 peers.
+// peers.
 func BenchmarkAt(b *testing.B) {
 	for _, targets := range []int{60, 256, 600} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
 			h, now := loadreport.NewPeerWork(age), time.Unix(0, 0)
-			var told []loadreport.TargetWork
+			var reported []loadreport.TargetWork
 			var keys []loadreport.Key
 			for i := range targets {
 				k := loadreport.KeyOf(fmt.Sprintf("i-%d", i))
-				told = append(told, loadreport.TargetWork{Target: k, Tokens: 1000, Memory: 9000})
+				reported = append(reported, loadreport.TargetWork{Target: k, Tokens: 1000, Memory: 9000})
 				if i%(targets/60) == 0 && len(keys) < 64 {
 					keys = append(keys, k)
 				}
 			}
 			for i := range 16 {
-				h.Apply(fmt.Sprint(i), 1, told, now)
+				h.Apply(fmt.Sprint(i), 1, reported, now)
 			}
 			for b.Loop() {
 				h.At(keys, now)
