--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -1,6 +1,6 @@
-// Package evacuation is an instance's copy of the operators' list of evacuated zones: zones
-// whose targets get no request until they are taken off the list. It is fed with lists and
-// changes of the object store and with peers' news of them, in any order. It does no I/O.
+// Package evacuation holds an instance's copy of the operators' list of evacuated zones: zones
+// whose targets get no requests until they are taken off the list. The copy is updated with lists
+// and changes from the object store and from peers, in any order. The package does no I/O.
 package evacuation
 
 import (
@@ -10,36 +10,37 @@
 	"github.com/shedhoist/shedhoist/internal/platform"
 )
 
-// Zones is the list. The zero value has not been told anything. A Zones belongs to one
-// goroutine.
+// Zones is the list of evacuated zones. The zero value has not received a list. A Zones belongs to
+// one goroutine.
 //
-// Invariant: the list is the object store's as of revision At, which never goes back.
+// Invariant: the list is the one that the object store held at Revision, which never decreases.
 type Zones struct {
-	at      platform.Version
-	changed platform.Version
-	zones   map[string]bool
+	revision   platform.Version
+	lastChange platform.Version
+	zones      map[string]bool
 }
 
-// firstChange stands for the last change of a list that never changed, so that it differs
-// from one that was never told.
-const firstChange platform.Version = 1
+// unchangedRevision stands for the last change of a list that has never changed, so that it differs
+// from a list that was never received.
+const unchangedRevision platform.Version = 1
 
-// Listed says whether the list was told at all.
-func (z *Zones) Listed() bool { return z.changed > 0 }
+// Listed reports whether a list or a change was received at all.
+func (z *Zones) Listed() bool { return z.lastChange > 0 }
 
-// Revision is the object store's revision up to which the list is complete.
-func (z *Zones) Revision() platform.Version { return z.at }
+// Revision returns the object store's revision up to which the list is complete.
+func (z *Zones) Revision() platform.Version { return z.revision }
 
-// LastChange is the revision of the last change; 0 before anything was told.
-func (z *Zones) LastChange() platform.Version { return z.changed }
+// LastChange returns the revision of the last change; 0 before anything was received. A copy of
+// that revision or a later one has missed no change.
+func (z *Zones) LastChange() platform.Version { return z.lastChange }
 
-// Names are the evacuated zones, sorted.
+// Names returns the evacuated zones, sorted.
 func (z *Zones) Names() []string { return slices.Sorted(maps.Keys(z.zones)) }
 
-// ApplyList replaces the list by that of a later revision, whose last change was at changed. It
-// says whether zones came or went.
-func (z *Zones) ApplyList(at, changed platform.Version, zones []string) bool {
-	if z.Listed() && at <= z.at {
+// ApplyList replaces the list by that of a later revision, whose last change was at lastChange. It
+// reports whether zones were added or removed.
+func (z *Zones) ApplyList(revision, lastChange platform.Version, zones []string) bool {
+	if z.Listed() && revision <= z.revision {
 		return false
 	}
 	next := make(map[string]bool, len(zones))
@@ -47,15 +48,15 @@
 		next[name] = true
 	}
 	differs := !maps.Equal(z.zones, next)
-	gone := false
+	removed := false
 	for name := range z.zones {
-		gone = gone || !next[name]
+		removed = removed || !next[name]
 	}
-	if gone {
-		changed = max(changed, at) // when it went is not known
+	if removed {
+		lastChange = max(lastChange, revision) // the revision of the removal is not known
 	}
-	z.at, z.zones = at, next
-	z.changed = max(z.changed, changed, firstChange)
+	z.revision, z.zones = revision, next
+	z.lastChange = max(z.lastChange, lastChange, unchangedRevision)
 	return differs
 }
 
@@ -65,13 +66,13 @@
 	Removed bool
 }
 
-// ApplyChanges takes the changes from a revision that was told before up to at, in their order. It
-// says whether zones came or went.
-func (z *Zones) ApplyChanges(at platform.Version, changes []Change) bool {
-	if at <= z.at {
+// ApplyChanges applies the changes from a revision that was received before up to the given one, in
+// order. It reports whether zones were added or removed.
+func (z *Zones) ApplyChanges(revision platform.Version, changes []Change) bool {
+	if revision <= z.revision {
 		return false
 	}
-	z.at = at
+	z.revision = revision
 	if len(changes) == 0 {
 		return false
 	}
@@ -87,6 +88,6 @@
 		next[c.Zone] = true
 	}
 	differs := !maps.Equal(z.zones, next)
-	z.changed, z.zones = at, next
+	z.lastChange, z.zones = revision, next
 	return differs
 }
--- a/internal/evacuation/evacuation_test.go
+++ b/internal/evacuation/evacuation_test.go
@@ -11,7 +11,8 @@
 	"github.com/shedhoist/shedhoist/internal/platform"
 )
 
-// TestEmptyList: a list that was told to be empty differs from one that was never told.
+// TestEmptyList checks that an empty list that was received differs from a list that was never
+// received.
 func TestEmptyList(t *testing.T) {
 	is := is.New(t)
 	var z evacuation.Zones
@@ -26,9 +27,9 @@
 
 func (h history) at(v platform.Version) []string { return h[v] }
 
-// TestAnyOrder: lists and changes come from several sources, late and repeated. The copy is
-// always the list of its revision, which never goes back, and whoever holds a copy of the
-// last change or later has missed nothing.
+// TestAnyOrder applies lists and changes from several sources, late and repeated, at random. The
+// copy must always be the list of its revision, which must never decrease, and the last change must
+// not be later than that revision.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a", "b", "c"}
