--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,7 +1,6 @@
-// Package catalog is what an entry instance knows of the fleet where operators
-// declare it in the platform's object store: routes, services, customers, cache
-// stores, targets and named weight versions. Its values are immutable once
-// published. How they are spelled outside is the business of an adapter.
+// Package catalog holds an instance's view of the fleet as operators declare it in the platform's
+// object store: routes, services, customers, cache stores, targets and named weight versions. Its
+// values are immutable once published. Adapters decode them from their external form.
 package catalog
 
 import (
@@ -12,10 +11,10 @@
 	"time"
 )
 
-// RequestKind says what may be repeated on a route.
+// RequestKind tells how often requests on a route may run.
 type RequestKind uint8
 
-// Request kinds.
+// Kinds of requests.
 const (
 	AtMostOnce RequestKind = iota // runs at most once
 	Idempotent                    // may run more than once
@@ -25,30 +24,30 @@
 // String names the kind for logs and metrics.
 func (k RequestKind) String() string { return [...]string{"once", "idempotent", "streaming"}[k] }
 
-// Backend is one service that a route sends to, with its share.
+// Backend is a service that a route sends requests to, with its weight.
 type Backend struct {
 	Service string
-	Weight  int // share of the route's requests, against the sum of all weights
+	Weight  int // share of the route's requests, relative to the sum of all weights
 }
 
-// Route says where requests go and what they may expect.
+// Route tells where requests go, and sets their limits.
 type Route struct {
 	Name             string
 	Host             string
 	PathPrefix       string // begins and ends with a slash
 	Kind             RequestKind
-	Timeout          time.Duration // longest time that a request may be kept
-	LatencyObjective time.Duration // latency objective: to the whole answer, or to a stream's first event
-	MaxEventGap      time.Duration // longest pause between events for which a stream is on time; 0: none
+	Timeout          time.Duration // maximum time for a request
+	LatencyObjective time.Duration // to the whole response, or to a stream's first event
+	MaxEventGap      time.Duration // maximum pause between events for a stream to be on time; 0: none
 	Priority         int           // 0 is the most urgent
-	MaxAttempts      int           // targets that one request may be sent to
+	MaxAttempts      int           // maximum number of targets that one request is sent to
 	Backends         []Backend
 	Public           bool // needs no key
 	UsesModel        bool // requests name a model and the parts of their prompt
-	Resumable        bool // a stream may go on at another target
+	Resumable        bool // a stream may continue at another target
 }
 
-// Repeatable says whether a request on the route may run more than once.
+// Repeatable reports whether a request on the route may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || (r.Kind == Streaming && r.Resumable)
 }
@@ -56,22 +55,22 @@
 // Engine describes the model servers of a service.
 type Engine struct {
 	Slots       int
-	CacheTokens int // accelerator memory for running requests and cached parts
-	TokenBytes  int // cache bytes of one token
+	CacheTokens int // accelerator memory for running requests and cached parts, in tokens
+	TokenBytes  int // cache size of one token, in bytes
 	LinkMbps    float64
-	MaxPolls    int // event polls that one server holds at a time
+	MaxPolls    int // event polls that one server holds open at a time
 	Managed     bool
 }
 
-// Service is a set of targets that are alike.
+// Service is a set of targets of the same kind.
 type Service struct {
 	Name           string
 	HealthPath     string
 	MaxConnections int     // that one target accepts from all instances together
-	Engine         *Engine // nil: a plain service
-	// Warmup is how long a target is cold after its start, or after the evacuation of its
-	// zone; 0: not at all. WarmupRate is how many requests a second one bears then, from all
-	// instances together.
+	Engine         *Engine // nil: a service without a model
+	// Warmup is how long a target warms up after its start, or after the evacuation of its zone; 0:
+	// not at all. WarmupRate is how many requests per second a target accepts during that time,
+	// from all instances together.
 	Warmup     time.Duration
 	WarmupRate float64
 }
@@ -84,20 +83,20 @@
 	Capacity        int // tokens
 	LinkMbps        float64
 	TransferLatency time.Duration // fixed delay of each transfer
-	MaxPolls        int           // event polls that it holds at a time
-	Managed         bool          // drops nothing by itself
+	MaxPolls        int           // event polls that it holds open at a time
+	Managed         bool          // evicts nothing by itself
 }
 
-// Customer is one customer.
+// Customer is an organisation that sends requests.
 type Customer struct {
 	Name     string
-	Priority int // valid if HasPriority: goes before the route's
+	Priority int // valid if HasPriority; overrides the route's priority
 	// HasPriority tells a declared priority 0 from none.
 	HasPriority bool
 	Isolated    bool // shares no cache with any other customer
 }
 
-// Limits bound what a caller's connection may ask. 0 is no limit.
+// Limits restrict a caller's connection. 0 is no limit.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -105,20 +104,20 @@
 	IdleTimeout   time.Duration
 }
 
-// Config is one whole version of the operators' configuration.
+// Config is one complete version of the operators' configuration.
 type Config struct {
 	Version  uint64
 	Limits   Limits
 	Services map[string]*Service
 	Stores   []CacheStore // sorted by address
 
-	routes    map[string][]*Route // by host, longest prefix first
-	customers map[string]*Customer
-	keyed     bool
-	wall      string
+	routes            map[string][]*Route // by host, longest prefix first
+	customers         map[string]*Customer
+	hasKeys           bool
+	isolatedCustomers string
 }
 
-// ConfigSpec is what an adapter has decoded of a configuration.
+// ConfigSpec is a configuration as an adapter has decoded it.
 type ConfigSpec struct {
 	Version   uint64
 	Limits    Limits
@@ -128,7 +127,7 @@
 	Customers []CustomerKeys
 }
 
-// CustomerKeys is a customer with the keys that belong to it.
+// CustomerKeys is a customer with its API keys.
 type CustomerKeys struct {
 	Customer
 	Keys []string
@@ -137,7 +136,7 @@
 // NewConfig indexes a configuration.
 func NewConfig(d ConfigSpec) *Config {
 	c := &Config{Version: d.Version, Limits: d.Limits, Services: map[string]*Service{}, Stores: slices.Clone(d.Stores),
-		routes: map[string][]*Route{}, customers: map[string]*Customer{}, keyed: len(d.Customers) > 0}
+		routes: map[string][]*Route{}, customers: map[string]*Customer{}, hasKeys: len(d.Customers) > 0}
 	for _, s := range d.Services {
 		c.Services[s.Name] = &s
 	}
@@ -159,16 +158,16 @@
 		}
 	}
 	slices.Sort(isolated)
-	c.wall = strings.Join(isolated, ",")
+	c.isolatedCustomers = strings.Join(isolated, ",")
 	slices.SortFunc(c.Stores, func(a, b CacheStore) int { return cmp.Compare(a.Address, b.Address) })
 	return c
 }
 
-// HasService says whether the configuration declares a service: an entry of a target may name
-// any. Without a configuration none is declared.
+// HasService reports whether the configuration declares a service. A target's entry may name one
+// that it doesn't. Without a configuration none is declared.
 func (c *Config) HasService(service string) bool { return c != nil && c.Services[service] != nil }
 
-// TargetMemory is the memory of one target of a service, in tokens; 0 if it is not declared.
+// TargetMemory returns the memory of one target of a service, in tokens; 0 if it is not declared.
 func (c *Config) TargetMemory(service string) int {
 	if s := c.Services[service]; s != nil && s.Engine != nil {
 		return s.Engine.CacheTokens
@@ -176,8 +175,8 @@
 	return 0
 }
 
-// Route finds the route of a request, or nil. The longest prefix that begins
-// the path wins; path is as the caller wrote it, without the query.
+// Route returns the route of a request, or nil. The longest prefix of the path wins; path is as the
+// caller wrote it, without the query.
 func (c *Config) Route(host, path string) *Route {
 	for _, r := range c.routes[hostOnly(host)] {
 		if strings.HasPrefix(path, r.PathPrefix) {
@@ -187,7 +186,7 @@
 	return nil
 }
 
-// hostOnly drops a port, and the case, of a Host header.
+// hostOnly strips the port from a Host header, and converts the rest to lower case.
 func hostOnly(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -198,53 +197,57 @@
 // Customer returns the customer that a key belongs to, or nil.
 func (c *Config) Customer(key string) *Customer { return c.customers[key] }
 
-// RequiresKey says whether requests on a route need a key.
-func (c *Config) RequiresKey(r *Route) bool { return c.keyed && !r.Public }
+// RequiresKey reports whether requests on a route need an API key.
+func (c *Config) RequiresKey(r *Route) bool { return c.hasKeys && !r.Public }
 
-// CacheScope is the text under which a customer's prompt cache may be found: its own
-// name if it is isolated, else one that all others share. The shared one changes
-// with the set of isolated customers, so that cache which a customer made before
-// it was isolated is not found by the others afterwards.
+// CacheScope returns the scope in which a customer's prompt cache may be found: the customer's own
+// if it is isolated, else one that all others share. The shared scope changes with the set of
+// isolated customers, so that cache which a customer stored before it was isolated is not found by
+// others afterwards.
 func (c *Config) CacheScope(cust *Customer) string {
 	if cust != nil && cust.Isolated {
 		return "c/" + cust.Name
 	}
-	return "s/" + c.wall
+	return "s/" + c.isolatedCustomers
 }
 
-// ModelVersion is a model's weight version as a target serves it.
+// ModelVersion is a model with the weight version that a target serves.
 type ModelVersion struct {
 	Model   string `cbor:"1,keyasint"`
 	Version uint64 `cbor:"2,keyasint"`
 }
 
-// Target is one life of a server: it may start again under the same name.
+// Target is one incarnation of a server, which may restart under the same name.
 type Target struct {
-	// ID names this life, see Identify. What is known by it ends with the life.
+	// ID identifies this incarnation, see WithID. What is known under an ID ends with its
+	// incarnation.
 	ID       string         `cbor:"-"`
-	Name     string         `cbor:"1,keyasint"`           // of its entry, and as it knows itself
-	Start    int64          `cbor:"2,keyasint,omitempty"` // of this life, Unix ms by the server's clock; 0: not told
+	Name     string         `cbor:"1,keyasint"`           // of its entry, and as the server knows itself
+	Start    int64          `cbor:"2,keyasint,omitempty"` // of this incarnation, Unix ms by the server's clock; 0: not known
 	Revision uint64         `cbor:"3,keyasint"`           // of its entry in the object store
 	Service  string         `cbor:"4,keyasint,omitempty"`
 	Address  string         `cbor:"5,keyasint,omitempty"` // host:port
 	Zone     string         `cbor:"6,keyasint,omitempty"`
-	Leaving  bool           `cbor:"7,keyasint,omitempty"` // its entry says that it takes no new requests
+	Leaving  bool           `cbor:"7,keyasint,omitempty"` // its entry says that it accepts no new requests
 	Models   []ModelVersion `cbor:"8,keyasint,omitempty"`
-	// WarmupMS is for how much longer the target was cold when it wrote its entry.
+	// WarmupMS is how much longer the target was warming up when it wrote its entry.
 	WarmupMS int64 `cbor:"10,keyasint,omitempty"`
-	// WarmupUntil is until when it is cold, by this instance's clock.
+	// WarmupUntil is the end of its warmup, by this instance's clock.
 	WarmupUntil time.Time `cbor:"-"`
-	// LeavingNotice says that it has said itself, in an answer, that it takes no new requests.
+	// LeavingNotice reports that the target has announced in a response that it accepts no new
+	// requests.
 	LeavingNotice bool `cbor:"-"`
-	// NoticeInherited says that clocks alone ascribe that word to this life.
+	// NoticeInherited reports that the notice is ascribed to this incarnation only by comparing
+	// clocks.
 	NoticeInherited bool `cbor:"-"`
-	// NoticeRequestSent is when the last request was sent whose answer told this instance so; zero: none.
+	// NoticeRequestSent is when the latest request was sent whose response gave this instance the
+	// notice; zero: none.
 	NoticeRequestSent time.Time `cbor:"-"`
-	// Unusable says that the entry can't be read as one of a server: nothing is sent there.
+	// Unusable reports that the entry can't be read as that of a server: nothing is sent there.
 	Unusable bool `cbor:"9,keyasint,omitempty"`
 }
 
-// WithID sets ID from the name and the start, and returns the target.
+// WithID returns the target with its ID, which is made of the name and the start.
 func (t Target) WithID() Target {
 	t.ID = t.Name
 	if t.Start != 0 {
@@ -253,11 +256,11 @@
 	return t
 }
 
-// IsLeaving says whether the target takes no new requests, by its entry or by its own word.
+// IsLeaving reports whether the target accepts no new requests, according to its entry or to its
+// leaving notice.
 func (t *Target) IsLeaving() bool { return t.Leaving || t.LeavingNotice }
 
-// WeightVersion returns the weight version that the target serves of a model; 0 is
-// none that is known.
+// WeightVersion returns the weight version that the target serves of a model; 0 if none is known.
 func (t *Target) WeightVersion(model string) uint64 {
 	for _, m := range t.Models {
 		if m.Model == model {
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -8,7 +8,7 @@
 	"github.com/shedhoist/shedhoist/internal/catalog"
 )
 
-func sample() *catalog.Config {
+func sampleConfig() *catalog.Config {
 	return catalog.NewConfig(catalog.ConfigSpec{Version: 3,
 		Routes: []catalog.Route{
 			{Name: "short", Host: "a.example", PathPrefix: "/x/"},
@@ -21,7 +21,7 @@
 		}})
 }
 
-// TestRoute is a table of hosts and paths with the route that takes them.
+// TestRoute checks which route matches a host and path.
 func TestRoute(t *testing.T) {
 	cases := []struct{ host, path, want string }{
 		{"a.example", "/x/1", "short"},
@@ -36,7 +36,7 @@
 	for _, c := range cases {
 		t.Run(c.host+c.path, func(t *testing.T) {
 			is := is.New(t)
-			r := sample().Route(c.host, c.path)
+			r := sampleConfig().Route(c.host, c.path)
 			if c.want == "" {
 				is.True(r == nil)
 				return
@@ -46,15 +46,15 @@
 	}
 }
 
-// TestWall: an isolated customer has a wall of its own; a change of who is
-// isolated changes the wall of all others.
-func TestWall(t *testing.T) {
+// TestCacheScope checks that an isolated customer has a scope of its own, and that a change of the
+// set of isolated customers changes the scope of all others.
+func TestCacheScope(t *testing.T) {
 	is := is.New(t)
-	c := sample()
+	c := sampleConfig()
 	one, two := c.Customer("k2"), c.Customer("k3")
 	is.True(one != nil && two != nil && c.Customer("k4") == nil)
 	is.True(c.CacheScope(one) != c.CacheScope(two))
 	is.Equal(c.CacheScope(one), c.CacheScope(nil)) // callers without a key share with those who are not isolated
-	open := catalog.NewConfig(catalog.ConfigSpec{Customers: []catalog.CustomerKeys{{Customer: catalog.Customer{Name: "one"}, Keys: []string{"k1"}}}})
-	is.True(open.CacheScope(open.Customer("k1")) != c.CacheScope(one))
+	withoutIsolation := catalog.NewConfig(catalog.ConfigSpec{Customers: []catalog.CustomerKeys{{Customer: catalog.Customer{Name: "one"}, Keys: []string{"k1"}}}})
+	is.True(withoutIsolation.CacheScope(withoutIsolation.Customer("k1")) != c.CacheScope(one))
 }
