--- a/internal/registry/table.go
+++ b/internal/registry/table.go
@@ -1,10 +1,10 @@
-// Package registry is an instance's copy of the registry in which targets enter
-// themselves. It is fed with lists and changes of the object store and with peers' news of
-// them, in any order, and says which targets there are. A Table belongs to one goroutine.
+// Package registry holds an instance's copy of the registry in which targets enter themselves. The
+// copy is updated with lists and changes from the object store and from peers, in any order. A
+// Table belongs to one goroutine.
 //
-// A target may start again under the name that it had. Its lives are told apart by their
-// starts: what is known of one says nothing of another. Invariant: of each name one life
-// at most is in the table, the latest that was heard of.
+// A target may restart under the same name. Its incarnations are told apart by their starts: what
+// is known of one doesn't hold for another. Invariant: the table has at most one incarnation of
+// each name, the latest that is known.
 package registry
 
 import (
@@ -19,99 +19,99 @@
 	"github.com/shedhoist/shedhoist/internal/platform"
 )
 
-// linesAtOnce is how many lines one word of changes may cost: a start of a large
-// fleet changes thousands of entries.
-const linesAtOnce = 64
+// maxLogLines is how many log lines one update may write: a start of a large fleet changes
+// thousands of entries.
+const maxLogLines = 64
 
-// Options are what a Table needs of its instance.
+// Options configure a Table.
 type Options struct {
 	Log log.Interface
-	// Rank orders the targets for this instance, by name.
+	// Rank ranks a target for this instance by its name.
 	Rank func(name string) uint64
-	// DepartureRetention is how long a life that ended is remembered: others may hold on to it.
+	// DepartureRetention is how long an ended incarnation is kept in Departures: other instances
+	// may still refer to it.
 	DepartureRetention time.Duration
 }
 
-// Entry is a target with its doubt.
+// Entry is a target with its state in the table.
 type Entry struct {
 	catalog.Target
-	Rank  uint64    // see Options
-	until time.Time // set: its entry vanished, and it counts as gone from then on
+	Rank      uint64    // see Options
+	heldUntil time.Time // set if its entry vanished: when the target counts as gone
 }
 
-// Held says whether the target's entry vanished, and may return.
-func (x *Entry) Held() bool { return !x.until.IsZero() }
+// Held reports whether the target's entry vanished and may return.
+func (e *Entry) Held() bool { return !e.heldUntil.IsZero() }
 
-// Departure is a life of a target that ended.
+// Departure is an incarnation of a target that ended.
 type Departure struct {
-	Models []catalog.ModelVersion // as it served them last
+	Models []catalog.ModelVersion // as it last served them
 	At     time.Time
 }
 
-// Table is the list of targets. A target whose entry vanishes is gone at
-// once, but for those that may have lapsed during an outage of the object store.
+// Table is the list of targets. A target whose entry vanishes is removed at once, unless the entry
+// may have expired because of an outage of the object store.
 type Table struct {
-	opts     Options
-	byName   map[string]*Entry
-	names    map[string]string // by id
-	sorted   []*Entry          // by name
-	held     map[string]bool   // names of those whose entry vanished
-	edits    uint64
-	lines    int // log lines that the present word may still cost
-	leftOut  int // those that it would have cost beyond
-	revision platform.Version
-	changed  platform.Version
-	gone     map[string]vanished
-	goneFrom platform.Version     // from which on gone is complete
-	said     map[Incarnation]said // see Leaves
-	// saidNumber is the number of the last of said.
-	saidNumber uint64
-	saidSwept  time.Time // see expireSaid
-	onNextLife func(Restart)
-	departed   []Departure
-	listed     bool
-	regained   time.Time // when contact with the object store was regained
+	opts            Options
+	byName          map[string]*Entry
+	nameByID        map[string]string // by ID
+	sorted          []*Entry          // by name
+	held            map[string]bool   // names of the targets whose entry vanished
+	edits           uint64
+	logBudget       int // log lines that the current update may still write
+	linesSuppressed int // log lines that the current update didn't write
+	revision        platform.Version
+	lastChange      platform.Version
+	vanished        map[string]vanishedEntry
+	vanishedFrom    platform.Version              // revision from which on vanished is complete
+	notices         map[Incarnation]leavingNotice // see ApplyLeavingNotice
+	// lastNoticeSeq is the seq of the latest notice.
+	lastNoticeSeq uint64
+	noticesSwept  time.Time // see expireNotices
+	onRestart     func(Restart)
+	departures    []Departure
+	listed        bool
+	reconnected   time.Time // when the object store was reached again after an outage
 }
 
 // New returns an empty table.
 func New(o Options) *Table {
-	return &Table{opts: o, byName: map[string]*Entry{}, names: map[string]string{}, held: map[string]bool{}, gone: map[string]vanished{}, said: map[Incarnation]said{}}
+	return &Table{opts: o, byName: map[string]*Entry{}, nameByID: map[string]string{}, held: map[string]bool{}, vanished: map[string]vanishedEntry{}, notices: map[Incarnation]leavingNotice{}}
 }
 
-// Revision is the object store's revision up to which the table is complete.
+// Revision returns the object store's revision up to which the table is complete.
 func (t *Table) Revision() platform.Version { return t.revision }
 
-// LastChange is the revision of the last change.
-func (t *Table) LastChange() platform.Version { return t.changed }
+// LastChange returns the revision of the last change.
+func (t *Table) LastChange() platform.Version { return t.lastChange }
 
-// Listed says whether the targets were listed at all.
+// Listed reports whether a list was received at all.
 func (t *Table) Listed() bool { return t.listed }
 
-// Edits rises with each change that a reader of entries would notice.
+// Edits returns a number that increases with each change that a reader of entries would notice.
 func (t *Table) Edits() uint64 { return t.edits }
 
-// Entries returns all entries by name, those that name no usable target too. The slice is
-// the table's own.
+// Entries returns all entries by name, unusable ones too. The caller must not change the slice.
 func (t *Table) Entries() []*Entry { return t.sorted }
 
 // Entry returns the entry of a name, or nil.
 func (t *Table) Entry(name string) *Entry { return t.byName[name] }
 
-// Departures returns the lives that ended lately.
-func (t *Table) Departures() []Departure { return slices.Clone(t.departed) }
+// Departures returns the incarnations that ended lately.
+func (t *Table) Departures() []Departure { return slices.Clone(t.departures) }
 
-// StoreReconnected says that the object store answers again.
-func (t *Table) StoreReconnected(now time.Time) { t.regained = now }
+// StoreReconnected notes that the object store is reachable again.
+func (t *Table) StoreReconnected(now time.Time) { t.reconnected = now }
 
-// ApplyList replaces the list by that of a later revision. Of its targets those that vanished
-// are named apart: whoever told the list holds them for their return.
+// ApplyList replaces the list by that of a later revision. vanished names those of its targets
+// whose entries vanished: the sender of the list holds them in case they return.
 func (t *Table) ApplyList(revision platform.Version, targets []catalog.Target, vanished []string, now time.Time) {
 	if t.listed && revision < t.revision {
 		return
 	}
 	present := map[string]bool{}
-	for _, x := range targets {
-		present[x.Name] = true
+	for _, target := range targets {
+		present[target.Name] = true
 	}
 	gone := slices.Clone(vanished)
 	for name := range t.byName {
@@ -119,196 +119,196 @@
 			gone = append(gone, name)
 		}
 	}
-	lines := linesAtOnce
+	logBudget := maxLogLines
 	if !t.listed {
-		lines = 0 // all are new, which the line on the list says
+		logBudget = 0 // all are new, which the caller logs in one line
 	}
-	t.goneFrom = revision // what came and went since the list before is not known
+	t.vanishedFrom = revision // changes between the previous list and this one are not known
 	t.listed = true
-	t.take(revision, targets, gone, now, lines)
+	t.apply(revision, targets, gone, now, logBudget)
 }
 
-// ApplyChanges takes what changed up to a revision.
+// ApplyChanges applies what changed up to a revision.
 func (t *Table) ApplyChanges(revision platform.Version, present []catalog.Target, gone []string, now time.Time) {
-	t.take(revision, present, gone, now, linesAtOnce)
-	if t.leftOut > 0 {
-		t.opts.Log.WithField("targets", len(present)+len(gone)).WithField("lines_left_out", t.leftOut).WithField("revision", uint64(t.revision)).Info("targets changed")
+	t.apply(revision, present, gone, now, maxLogLines)
+	if t.linesSuppressed > 0 {
+		t.opts.Log.WithField("targets", len(present)+len(gone)).WithField("lines_left_out", t.linesSuppressed).WithField("revision", uint64(t.revision)).Info("targets changed")
 	}
 }
 
-// take takes a list or changes, at the cost of so many log lines at most.
-func (t *Table) take(revision platform.Version, present []catalog.Target, gone []string, now time.Time, lines int) {
-	t.lines, t.leftOut = lines, 0
+// apply applies a list or changes, and writes at most logBudget log lines.
+func (t *Table) apply(revision platform.Version, present []catalog.Target, gone []string, now time.Time, logBudget int) {
+	t.logBudget, t.linesSuppressed = logBudget, 0
 	t.revision = max(t.revision, revision)
-	for _, x := range present {
-		t.put(x, now)
+	for _, target := range present {
+		t.put(target, now)
 	}
 	if len(gone) > 0 {
-		t.changed = max(t.changed, revision)
+		t.lastChange = max(t.lastChange, revision)
 	}
-	until := t.regained.Add(ReregistrationTimeout)
-	if t.sudden(gone) >= massLapse && until.Before(now) {
-		until = now.Add(massHold)
+	until := t.reconnected.Add(ReregistrationTimeout)
+	if t.countUnannounced(gone) >= massExpiryThreshold && until.Before(now) {
+		until = now.Add(massExpiryHold)
 	}
 	for _, name := range gone {
-		t.vanish(name, uint64(revision), until, now)
+		t.entryVanished(name, uint64(revision), until, now)
 	}
 }
 
-// put takes an entry, unless a newer word of it is known: news by way of a peer
-// may overtake the store's own.
-func (t *Table) put(x catalog.Target, now time.Time) {
-	old, gone := t.byName[x.Name], t.gone[x.Name]
-	if x.Revision <= gone.revision || old != nil && x.Revision < old.Revision {
+// put stores an entry, unless a newer state of it is known: an update by way of a peer may overtake
+// the store's own.
+func (t *Table) put(target catalog.Target, now time.Time) {
+	old, gone := t.byName[target.Name], t.vanished[target.Name]
+	if target.Revision <= gone.revision || old != nil && target.Revision < old.Revision {
 		return
 	}
-	t.changed = max(t.changed, platform.Version(x.Revision))
-	latest := gone.start
+	t.lastChange = max(t.lastChange, platform.Version(target.Revision))
+	latestStart := gone.latestStart
 	if old != nil {
-		latest = max(latest, old.Start)
+		latestStart = max(latestStart, old.Start)
 	}
 	switch {
-	case x.Unusable, x.Start == 0 && latest != 0:
-		t.putUnusable(old, x)
-	case x.Start < latest:
-		t.putLate(old, x)
+	case target.Unusable, target.Start == 0 && latestStart != 0:
+		t.putUnusable(old, target)
+	case target.Start < latestStart:
+		t.putStale(old, target)
 	default:
-		if old != nil || latest != 0 {
-			t.follow(&x, latest, now)
+		if old != nil || latestStart != 0 {
+			t.noteRestart(&target, latestStart, now)
 		}
-		t.putUsable(old, x, now)
+		t.putUsable(old, target, now)
 	}
 }
 
-// putUnusable takes an entry that names no target to use. What is known of the target
-// stays, for when its entry is readable again.
-func (t *Table) putUnusable(old *Entry, x catalog.Target) {
-	next := Entry{Target: x}
+// putUnusable stores an entry that names no usable target. What is known of the target stays, for
+// when its entry is readable again.
+func (t *Table) putUnusable(old *Entry, target catalog.Target) {
+	next := Entry{Target: target}
 	if old != nil {
 		next.Target = old.Target
-		next.Revision = x.Revision
+		next.Revision = target.Revision
 	}
 	next.Unusable = true
 	t.set(&next)
 	metric.EntriesUnusable.Inc()
-	if t.mayLog() {
-		t.entryLog(x.Name).WithField("revision", x.Revision).Warn("target's entry names no target to use")
+	if t.allowLog() {
+		t.entryLog(target.Name).WithField("revision", target.Revision).Warn("target's entry names no target to use")
 	}
 }
 
-// putLate takes what an earlier life wrote and what took effect late: it brings nothing
-// back, and the later life stands.
-func (t *Table) putLate(old *Entry, x catalog.Target) {
+// putStale handles a write of an earlier incarnation that took effect late: it revives nothing, and
+// the later incarnation stays.
+func (t *Table) putStale(old *Entry, target catalog.Target) {
 	if old == nil || old.Held() {
-		t.putUnusable(old, x)
+		t.putUnusable(old, target)
 		return
 	}
 	next := *old
-	next.Revision = x.Revision
+	next.Revision = target.Revision
 	t.set(&next)
-	if t.mayLog() {
-		t.entryLog(x.Name).WithField("start", x.Start).WithField("latest_start", old.Start).WithField("revision", x.Revision).Info("entry of an earlier life left out")
+	if t.allowLog() {
+		t.entryLog(target.Name).WithField("start", target.Start).WithField("latest_start", old.Start).WithField("revision", target.Revision).Info("entry of an earlier life left out")
 	}
 }
 
-// putUsable takes an entry of the latest life. Within one life weights never go back,
-// though an entry may be older than what the target's own answers told.
-func (t *Table) putUsable(old *Entry, x catalog.Target, now time.Time) {
-	again := old != nil && old.ID != x.ID
-	x.WarmupUntil = coldUntil(old, &x, now)
+// putUsable stores an entry of the latest incarnation. Within one incarnation weight versions never
+// decrease, though an entry may be older than the target's own responses.
+func (t *Table) putUsable(old *Entry, target catalog.Target, now time.Time) {
+	restarted := old != nil && old.ID != target.ID
+	target.WarmupUntil = warmupUntil(old, &target, now)
 	switch {
-	case again:
+	case restarted:
 		t.remove(old.Name, now)
 	case old != nil:
-		x.Models = newest(x.Models, old.Models)
+		target.Models = newestVersions(target.Models, old.Models)
 	}
-	next := &Entry{Target: x}
+	next := &Entry{Target: target}
 	t.set(next)
-	noted := old == nil || again || old.Unusable || old.Leaving != x.Leaving || !slices.Equal(old.Models, x.Models)
-	if noted && t.mayLog() {
-		t.entryLog(x.Name).WithField("start", x.Start).WithField("again", again).WithField("service", x.Service).WithField("leaving", next.IsLeaving()).
-			WithField("models", x.Models).WithField("revision", uint64(t.revision)).Info("target changed")
+	changed := old == nil || restarted || old.Unusable || old.Leaving != target.Leaving || !slices.Equal(old.Models, target.Models)
+	if changed && t.allowLog() {
+		t.entryLog(target.Name).WithField("start", target.Start).WithField("again", restarted).WithField("service", target.Service).WithField("leaving", next.IsLeaving()).
+			WithField("models", target.Models).WithField("revision", uint64(t.revision)).Info("target changed")
 	}
 }
 
-// coldUntil is until when a target is cold that says so in its entry. An entry that was known
-// says nothing new.
-func coldUntil(old *Entry, x *catalog.Target, now time.Time) time.Time {
+// warmupUntil returns until when a target is warming up according to its entry. An entry that is
+// known already doesn't extend the warmup.
+func warmupUntil(old *Entry, target *catalog.Target, now time.Time) time.Time {
 	switch {
-	case old != nil && old.ID == x.ID && old.Revision == x.Revision:
+	case old != nil && old.ID == target.ID && old.Revision == target.Revision:
 		return old.WarmupUntil
-	case x.WarmupMS <= 0:
+	case target.WarmupMS <= 0:
 		return time.Time{}
 	}
-	return now.Add(time.Duration(x.WarmupMS) * time.Millisecond)
+	return now.Add(time.Duration(target.WarmupMS) * time.Millisecond)
 }
 
-// newest is models, none older than before.
-func newest(models, before []catalog.ModelVersion) []catalog.ModelVersion {
+// newestVersions returns models with no version older than in previous.
+func newestVersions(models, previous []catalog.ModelVersion) []catalog.ModelVersion {
 	out := slices.Clone(models)
 	for i := range out {
-		for _, b := range before {
-			if b.Model == out[i].Model {
-				out[i].Version = max(out[i].Version, b.Version)
+		for _, p := range previous {
+			if p.Model == out[i].Model {
+				out[i].Version = max(out[i].Version, p.Version)
 			}
 		}
 	}
 	return out
 }
 
-// ApplyWeightVersion takes a target's own word of its weights. id names the life that gave it; the
-// word of one that ended says nothing.
-func (t *Table) ApplyWeightVersion(id string, at catalog.ModelVersion) {
-	name, known := t.names[id]
+// ApplyWeightVersion applies a weight version that a target reported itself. id is the ID of the
+// reporting incarnation; reports of an ended one are ignored.
+func (t *Table) ApplyWeightVersion(id string, version catalog.ModelVersion) {
+	name, known := t.nameByID[id]
 	if !known {
 		return
 	}
-	x := t.byName[name]
-	if x.WeightVersion(at.Model) >= at.Version {
+	entry := t.byName[name]
+	if entry.WeightVersion(version.Model) >= version.Version {
 		return
 	}
-	next := *x
-	next.Models = newest(x.Models, []catalog.ModelVersion{at})
+	next := *entry
+	next.Models = newestVersions(entry.Models, []catalog.ModelVersion{version})
 	t.set(&next)
-	t.entryLog(name).WithField("model", at.Model).WithField("version", at.Version).Info("target serves newer weights")
+	t.entryLog(name).WithField("model", version.Model).WithField("version", version.Version).Info("target serves newer weights")
 }
 
-// set keeps an entry in place of the one of its name.
-func (t *Table) set(x *Entry) {
-	s, said := t.said[IncarnationOf(&x.Target)]
-	x.LeavingNotice, x.NoticeInherited, x.NoticeRequestSent = said, s.inherited, s.sent
-	old := t.byName[x.Name]
+// set stores an entry in place of the one of its name.
+func (t *Table) set(entry *Entry) {
+	notice, announced := t.notices[IncarnationOf(&entry.Target)]
+	entry.LeavingNotice, entry.NoticeInherited, entry.NoticeRequestSent = announced, notice.inherited, notice.requestSent
+	old := t.byName[entry.Name]
 	if old != nil {
-		x.Rank = old.Rank
+		entry.Rank = old.Rank
 	} else {
-		x.Rank = t.opts.Rank(x.Name)
+		entry.Rank = t.opts.Rank(entry.Name)
 	}
-	if old == nil || !sameTarget(&old.Target, &x.Target) {
+	if old == nil || !equalForReaders(&old.Target, &entry.Target) {
 		t.edits++
 	}
-	t.byName[x.Name], t.names[x.ID] = x, x.Name
-	if x.Held() {
-		t.held[x.Name] = true
+	t.byName[entry.Name], t.nameByID[entry.ID] = entry, entry.Name
+	if entry.Held() {
+		t.held[entry.Name] = true
 	} else {
-		delete(t.held, x.Name)
+		delete(t.held, entry.Name)
 	}
-	i, ok := t.find(x.Name)
+	i, ok := t.find(entry.Name)
 	if ok {
-		t.sorted[i] = x
+		t.sorted[i] = entry
 	} else {
-		t.sorted = slices.Insert(t.sorted, i, x)
+		t.sorted = slices.Insert(t.sorted, i, entry)
 	}
 }
 
-// remove drops an entry; its life has ended.
+// remove removes an entry, whose incarnation has ended.
 func (t *Table) remove(name string, now time.Time) {
-	t.departed = slices.DeleteFunc(t.departed, func(d Departure) bool { return now.Sub(d.At) >= t.opts.DepartureRetention })
-	x := t.byName[name]
-	if len(x.Models) > 0 {
-		t.departed = append(t.departed, Departure{Models: x.Models, At: now})
+	t.departures = slices.DeleteFunc(t.departures, func(d Departure) bool { return now.Sub(d.At) >= t.opts.DepartureRetention })
+	entry := t.byName[name]
+	if len(entry.Models) > 0 {
+		t.departures = append(t.departures, Departure{Models: entry.Models, At: now})
 	}
 	delete(t.byName, name)
-	delete(t.names, x.ID)
+	delete(t.nameByID, entry.ID)
 	delete(t.held, name)
 	if i, ok := t.find(name); ok {
 		t.sorted = slices.Delete(t.sorted, i, i+1)
@@ -316,24 +316,24 @@
 	t.edits++
 }
 
-// find is the place of a name among the sorted entries.
+// find returns the index of a name among the sorted entries.
 func (t *Table) find(name string) (int, bool) {
-	return slices.BinarySearchFunc(t.sorted, name, func(x *Entry, name string) int { return cmp.Compare(x.Name, name) })
+	return slices.BinarySearchFunc(t.sorted, name, func(entry *Entry, name string) int { return cmp.Compare(entry.Name, name) })
 }
 
-// sameTarget says whether two words of a target differ in nothing that readers use.
-func sameTarget(a, b *catalog.Target) bool {
+// equalForReaders reports whether two states of a target are the same in all that readers use.
+func equalForReaders(a, b *catalog.Target) bool {
 	return a.ID == b.ID && a.Unusable == b.Unusable && a.Service == b.Service && a.Address == b.Address && a.Zone == b.Zone &&
 		a.Leaving == b.Leaving && a.LeavingNotice == b.LeavingNotice && a.NoticeInherited == b.NoticeInherited && a.NoticeRequestSent.Equal(b.NoticeRequestSent) && a.WarmupUntil.Equal(b.WarmupUntil) && slices.Equal(a.Models, b.Models)
 }
 
-// mayLog says whether one more line may be written of the present word.
-func (t *Table) mayLog() bool {
-	if t.lines == 0 {
-		t.leftOut++
+// allowLog reports whether the current update may write one more log line.
+func (t *Table) allowLog() bool {
+	if t.logBudget == 0 {
+		t.linesSuppressed++
 		return false
 	}
-	t.lines--
+	t.logBudget--
 	return true
 }
 
--- a/internal/registry/table_test.go
+++ b/internal/registry/table_test.go
@@ -13,112 +13,115 @@
 	"github.com/shedhoist/shedhoist/internal/platform"
 )
 
-// testLinger is how long the tables of tests remember lives that ended.
-const testLinger = 4 * time.Second
+// testRetention is how long tables in tests keep ended incarnations.
+const testRetention = 4 * time.Second
 
-func table() *Table {
-	return New(Options{Log: &log.Logger{Handler: discard.Default}, Rank: func(string) uint64 { return 1 }, DepartureRetention: testLinger})
+func newTable() *Table {
+	return New(Options{Log: &log.Logger{Handler: discard.Default}, Rank: func(string) uint64 { return 1 }, DepartureRetention: testRetention})
 }
 
-func entry(name string, revision uint64) catalog.Target { return life(name, 0, revision) }
+func newTargetWithoutStart(name string, revision uint64) catalog.Target {
+	return newTarget(name, 0, revision)
+}
 
-// life is the entry of one life of a target.
-func life(name string, start int64, revision uint64) catalog.Target {
+// newTarget returns the entry of one incarnation of a target.
+func newTarget(name string, start int64, revision uint64) catalog.Target {
 	return catalog.Target{Name: name, Start: start, Revision: revision, Service: "s", Models: []catalog.ModelVersion{{Model: "m", Version: 1}}}.WithID()
 }
 
-var at0 = time.Unix(1000, 0)
+var baseTime = time.Unix(1000, 0)
 
-// TestVanish: an entry that vanishes is gone at once.
+// TestVanish checks that the target of a vanished entry is removed at once.
 func TestVanish(t *testing.T) {
 	is := is.New(t)
-	tt := table()
-	tt.ApplyList(5, []catalog.Target{entry("a", 1), entry("b", 2)}, nil, at0)
-	tt.ApplyChanges(6, nil, []string{"a"}, at0)
+	tt := newTable()
+	tt.ApplyList(5, []catalog.Target{newTargetWithoutStart("a", 1), newTargetWithoutStart("b", 2)}, nil, baseTime)
+	tt.ApplyChanges(6, nil, []string{"a"}, baseTime)
 	is.Equal(len(tt.byName), 1)
 }
 
-// TestLapse: entries that vanish when the object store has just returned are held
-// for as long as their return may take; those that were leaving are not.
-func TestLapse(t *testing.T) {
+// TestHeldAfterStoreOutage checks that entries which vanish when the object store has just returned
+// are held for as long as their return may take, except those of leaving targets.
+func TestHeldAfterStoreOutage(t *testing.T) {
 	is := is.New(t)
-	tt := table()
-	leaving := entry("leaving", 3)
+	tt := newTable()
+	leaving := newTargetWithoutStart("leaving", 3)
 	leaving.Leaving = true
-	tt.ApplyList(5, []catalog.Target{entry("back", 1), entry("gone", 2), leaving}, nil, at0)
-	tt.StoreReconnected(at0)
-	tt.ApplyList(9, nil, nil, at0)
+	tt.ApplyList(5, []catalog.Target{newTargetWithoutStart("back", 1), newTargetWithoutStart("gone", 2), leaving}, nil, baseTime)
+	tt.StoreReconnected(baseTime)
+	tt.ApplyList(9, nil, nil, baseTime)
 	is.Equal(len(tt.byName), 2)
-	tt.ApplyChanges(10, []catalog.Target{entry("back", 10)}, nil, at0.Add(time.Second))
-	is.True(!tt.Expire(at0.Add(ReregistrationTimeout - time.Millisecond)))
-	is.True(tt.Expire(at0.Add(ReregistrationTimeout)))
+	tt.ApplyChanges(10, []catalog.Target{newTargetWithoutStart("back", 10)}, nil, baseTime.Add(time.Second))
+	is.True(!tt.Expire(baseTime.Add(ReregistrationTimeout - time.Millisecond)))
+	is.True(tt.Expire(baseTime.Add(ReregistrationTimeout)))
 	is.Equal(len(tt.byName), 1)
 	is.True(tt.byName["back"] != nil)
 }
 
-// TestMassLapse: many entries that vanish at once may have lapsed, though no outage
-// was noticed; but they may as well have left, and then get nothing after 2 s, the
-// publishing of a view included.
-func TestMassLapse(t *testing.T) {
+// TestMassExpiry checks that many entries which vanish at once are held, since they may have
+// expired though no outage was noticed. They may also have left, so they must get no requests after
+// 2 s, the time to publish a view included.
+func TestMassExpiry(t *testing.T) {
 	is := is.New(t)
-	tt := table()
+	tt := newTable()
 	var all []catalog.Target
-	var ids []string
-	for i := range massLapse {
-		all = append(all, entry(fmt.Sprint(i), 1))
-		ids = append(ids, fmt.Sprint(i))
+	var names []string
+	for i := range massExpiryThreshold {
+		all = append(all, newTargetWithoutStart(fmt.Sprint(i), 1))
+		names = append(names, fmt.Sprint(i))
 	}
-	tt.ApplyList(5, all, nil, at0)
-	tt.ApplyChanges(6, nil, ids, at0)
-	is.Equal(len(tt.byName), massLapse)
-	tt.Expire(at0.Add(1500 * time.Millisecond))
+	tt.ApplyList(5, all, nil, baseTime)
+	tt.ApplyChanges(6, nil, names, baseTime)
+	is.Equal(len(tt.byName), massExpiryThreshold)
+	tt.Expire(baseTime.Add(1500 * time.Millisecond))
 	is.Equal(len(tt.byName), 0)
 }
 
-// TestOvertaken: news from a peer that overtakes the store's own word is not
-// undone by it, and an entry that was gone returns only by a newer word.
-func TestOvertaken(t *testing.T) {
+// TestReorderedUpdates checks that an update from a peer which overtakes the store's own is not
+// undone by it, and that a vanished entry returns only with a newer state.
+func TestReorderedUpdates(t *testing.T) {
 	is := is.New(t)
-	tt := table()
-	tt.ApplyList(5, []catalog.Target{entry("a", 1), entry("b", 2)}, nil, at0)
-	draining := entry("a", 8)
+	tt := newTable()
+	tt.ApplyList(5, []catalog.Target{newTargetWithoutStart("a", 1), newTargetWithoutStart("b", 2)}, nil, baseTime)
+	draining := newTargetWithoutStart("a", 8)
 	draining.Leaving = true
-	tt.ApplyList(9, []catalog.Target{draining}, nil, at0) // by a peer
+	tt.ApplyList(9, []catalog.Target{draining}, nil, baseTime) // from a peer
 	is.True(tt.byName["a"].Leaving)
-	tt.ApplyChanges(7, []catalog.Target{entry("a", 6), entry("b", 7)}, nil, at0) // late, by the store
+	tt.ApplyChanges(7, []catalog.Target{newTargetWithoutStart("a", 6), newTargetWithoutStart("b", 7)}, nil, baseTime) // late, from the store
 	is.True(tt.byName["a"].Leaving)
 	is.True(tt.byName["b"] == nil)
-	tt.ApplyChanges(12, []catalog.Target{entry("b", 12)}, nil, at0)
+	tt.ApplyChanges(12, []catalog.Target{newTargetWithoutStart("b", 12)}, nil, baseTime)
 	is.True(tt.byName["b"] != nil)
-	tt.ApplyList(8, nil, nil, at0) // an old list
+	tt.ApplyList(8, nil, nil, baseTime) // an older list
 	is.Equal(len(tt.byName), 2)
 }
 
-// TestServes: weights of a target never go back, whatever its entry says.
-func TestServes(t *testing.T) {
+// TestApplyWeightVersion checks that a target's weight versions never decrease, whatever its entry
+// says.
+func TestApplyWeightVersion(t *testing.T) {
 	is := is.New(t)
-	tt := table()
-	tt.ApplyList(5, []catalog.Target{entry("a", 1)}, nil, at0)
+	tt := newTable()
+	tt.ApplyList(5, []catalog.Target{newTargetWithoutStart("a", 1)}, nil, baseTime)
 	tt.ApplyWeightVersion("a", catalog.ModelVersion{Model: "m", Version: 3})
-	tt.ApplyChanges(6, []catalog.Target{entry("a", 6)}, nil, at0)
+	tt.ApplyChanges(6, []catalog.Target{newTargetWithoutStart("a", 6)}, nil, baseTime)
 	is.Equal(tt.byName["a"].WeightVersion("m"), uint64(3))
 }
 
-// TestSince: a peer that knows up to a revision is told what changed since, and one
-// that knows less than this instance remembers is told all.
-func TestSince(t *testing.T) {
+// TestChangesSince checks that a peer which knows the table up to a revision is told what changed
+// since, and that one with a state older than this instance remembers is told everything.
+func TestChangesSince(t *testing.T) {
 	is := is.New(t)
-	tt := table()
-	tt.ApplyList(5, []catalog.Target{entry("a", 1), entry("b", 2), entry("c", 3)}, nil, at0)
-	tt.ApplyChanges(7, []catalog.Target{entry("b", 7)}, []string{"a"}, at0)
+	tt := newTable()
+	tt.ApplyList(5, []catalog.Target{newTargetWithoutStart("a", 1), newTargetWithoutStart("b", 2), newTargetWithoutStart("c", 3)}, nil, baseTime)
+	tt.ApplyChanges(7, []catalog.Target{newTargetWithoutStart("b", 7)}, []string{"a"}, baseTime)
 	entries, gone, all := tt.ChangesSince(5)
 	is.True(!all)
 	is.Equal(len(entries), 1)
 	is.Equal(entries[0].Name, "b")
 	is.Equal(gone, []string{"a"})
-	peer := table()
-	peer.ApplyList(5, []catalog.Target{entry("a", 1), entry("b", 2), entry("c", 3)}, nil, at0)
-	peer.ApplyChanges(7, entries, gone, at0)
+	peer := newTable()
+	peer.ApplyList(5, []catalog.Target{newTargetWithoutStart("a", 1), newTargetWithoutStart("b", 2), newTargetWithoutStart("c", 3)}, nil, baseTime)
+	peer.ApplyChanges(7, entries, gone, baseTime)
 	is.Equal(len(peer.byName), 2)
 	is.Equal(peer.byName["b"].Revision, uint64(7))
 	entries, _, all = tt.ChangesSince(4)
@@ -128,55 +131,55 @@
 	is.True(!all && len(entries) == 0 && len(gone) == 0)
 }
 
-// TestStartsAgain: a target that starts again under its name is another one. Nothing that
-// was known of the life before holds for it, and late words of that life bring nothing back.
-func TestStartsAgain(t *testing.T) {
+// TestRestart checks that a target which restarts under its name is a new one: nothing known of the
+// previous incarnation holds for it, and late writes of that one revive nothing.
+func TestRestart(t *testing.T) {
 	is := is.New(t)
-	tt := table()
-	tt.ApplyList(5, []catalog.Target{life("a", 100, 1)}, nil, at0)
-	before := tt.Entry("a").ID
-	tt.ApplyWeightVersion(before, catalog.ModelVersion{Model: "m", Version: 3})
-	tt.ApplyChanges(6, []catalog.Target{life("a", 200, 6)}, nil, at0)
-	x := tt.Entry("a")
-	is.True(x.ID != before)
-	is.Equal(x.WeightVersion("m"), uint64(1)) // the weights that it says
-	is.Equal(len(tt.Departures()), 1)         // others may hold on to the one before
-	tt.ApplyWeightVersion(before, catalog.ModelVersion{Model: "m", Version: 9})
+	tt := newTable()
+	tt.ApplyList(5, []catalog.Target{newTarget("a", 100, 1)}, nil, baseTime)
+	previousID := tt.Entry("a").ID
+	tt.ApplyWeightVersion(previousID, catalog.ModelVersion{Model: "m", Version: 3})
+	tt.ApplyChanges(6, []catalog.Target{newTarget("a", 200, 6)}, nil, baseTime)
+	entry := tt.Entry("a")
+	is.True(entry.ID != previousID)
+	is.Equal(entry.WeightVersion("m"), uint64(1)) // the version of its own entry
+	is.Equal(len(tt.Departures()), 1)             // other instances may still refer to the previous incarnation
+	tt.ApplyWeightVersion(previousID, catalog.ModelVersion{Model: "m", Version: 9})
 	is.Equal(tt.Entry("a").WeightVersion("m"), uint64(1))
 
-	tt.ApplyChanges(7, []catalog.Target{life("a", 100, 7)}, nil, at0) // a write of the life before
-	is.Equal(tt.Entry("a").ID, x.ID)
-	is.Equal(tt.Entry("a").Revision, uint64(7)) // the list is complete all the same
-	tt.ApplyChanges(8, nil, []string{"a"}, at0)
-	tt.ApplyChanges(9, []catalog.Target{life("a", 100, 9)}, nil, at0) // the same after its entry is gone
+	tt.ApplyChanges(7, []catalog.Target{newTarget("a", 100, 7)}, nil, baseTime) // a late write of the previous incarnation
+	is.Equal(tt.Entry("a").ID, entry.ID)
+	is.Equal(tt.Entry("a").Revision, uint64(7)) // the list is complete nevertheless
+	tt.ApplyChanges(8, nil, []string{"a"}, baseTime)
+	tt.ApplyChanges(9, []catalog.Target{newTarget("a", 100, 9)}, nil, baseTime) // the same once its entry is gone
 	is.True(tt.Entry("a").Unusable)
-	tt.ApplyChanges(10, []catalog.Target{life("a", 300, 10)}, nil, at0)
+	tt.ApplyChanges(10, []catalog.Target{newTarget("a", 300, 10)}, nil, baseTime)
 	is.True(!tt.Entry("a").Unusable)
 	is.Equal(len(tt.Entries()), 1)
 }
 
-// TestUnusable: an entry that can't be read, or that lacks the start which its target
-// told before, names no target to use; it stands in the list and is told to peers. When
-// it is readable again, what was known of that life holds on.
-func TestUnusable(t *testing.T) {
+// TestUnusableEntry checks that an entry which can't be read, or which lacks the start that its
+// target gave before, names no usable target, stays in the list and is reported to peers. When it
+// is readable again, what was known of that incarnation still holds.
+func TestUnusableEntry(t *testing.T) {
 	is := is.New(t)
-	bad := func(revision uint64) catalog.Target {
+	unreadable := func(revision uint64) catalog.Target {
 		return catalog.Target{Name: "a", Revision: revision, Unusable: true}.WithID()
 	}
-	tt := table()
-	tt.ApplyList(5, []catalog.Target{life("a", 100, 1), entry("b", 2)}, nil, at0)
+	tt := newTable()
+	tt.ApplyList(5, []catalog.Target{newTarget("a", 100, 1), newTargetWithoutStart("b", 2)}, nil, baseTime)
 	id := tt.Entry("a").ID
 	tt.ApplyWeightVersion(id, catalog.ModelVersion{Model: "m", Version: 2})
-	for _, x := range []catalog.Target{bad(6), life("a", 0, 8)} {
-		revision, edits := x.Revision, tt.Edits()
-		tt.ApplyChanges(platform.Version(revision), []catalog.Target{x}, nil, at0)
+	for _, target := range []catalog.Target{unreadable(6), newTarget("a", 0, 8)} {
+		revision, edits := target.Revision, tt.Edits()
+		tt.ApplyChanges(platform.Version(revision), []catalog.Target{target}, nil, baseTime)
 		is.True(tt.Entry("a").Unusable)
 		is.True(!tt.Entry("b").Unusable)
 		is.True(tt.Edits() > edits)
 		entries, _, all := tt.ChangesSince(platform.Version(revision - 1))
 		is.True(!all && len(entries) == 1 && entries[0].Unusable)
 
-		tt.ApplyChanges(platform.Version(revision+1), []catalog.Target{life("a", 100, revision+1)}, nil, at0)
+		tt.ApplyChanges(platform.Version(revision+1), []catalog.Target{newTarget("a", 100, revision+1)}, nil, baseTime)
 		is.True(!tt.Entry("a").Unusable)
 		is.Equal(tt.Entry("a").ID, id)
 		is.Equal(tt.Entry("a").WeightVersion("m"), uint64(2))
--- a/internal/registry/vanish.go
+++ b/internal/registry/vanish.go
@@ -9,83 +9,83 @@
 	"github.com/shedhoist/shedhoist/internal/platform"
 )
 
-// Entries that vanish: which are gone, which may return, and what peers are told of them.
+// Vanished entries: which targets are gone, which may return, and what peers are told of them.
 
-// Times of held entries.
+// Bounds for held entries.
 const (
-	// ReregistrationTimeout is how long after the object store's return an entry that lapsed
-	// meanwhile may take to be written again.
+	// ReregistrationTimeout is how long targets may take to write their entries again after an
+	// outage of the object store in which the entries expired.
 	ReregistrationTimeout = 2 * time.Second
-	// massLapse is how many entries that were not leaving must vanish at once to
-	// be taken for lapsed rather than gone: an outage may end before it is noticed.
-	massLapse = 3
-	// massHold is how long those are held if no outage was noticed: they may have
-	// left in order, and must get no requests 2 s after they said so.
-	massHold = 1200 * time.Millisecond
-	// maxGone bounds the memory of vanished entries.
-	maxGone = 4096
+	// massExpiryThreshold is how many entries of targets that are not leaving must vanish at once
+	// to be treated as expired rather than removed: an outage may end before it is noticed.
+	massExpiryThreshold = 3
+	// massExpiryHold is how long those are held if no outage was noticed: they may have left
+	// properly, and must get no requests 2 s after they announced it.
+	massExpiryHold = 1200 * time.Millisecond
+	// maxVanished bounds the number of vanished entries that are remembered.
+	maxVanished = 4096
 )
 
-// vanished is what is remembered of an entry that is no more.
-type vanished struct {
-	revision uint64
-	start    int64 // of the target's latest life
+// vanishedEntry is what is remembered of an entry that has vanished.
+type vanishedEntry struct {
+	revision    uint64
+	latestStart int64 // of the target's latest incarnation
 }
 
-// sudden counts those that vanish without having said that they leave.
-func (t *Table) sudden(gone []string) int {
+// countUnannounced counts the targets that vanish without having announced that they leave.
+func (t *Table) countUnannounced(gone []string) int {
 	n := 0
 	for _, name := range gone {
-		if x := t.byName[name]; x != nil && !x.IsLeaving() {
+		if entry := t.byName[name]; entry != nil && !entry.IsLeaving() {
 			n++
 		}
 	}
 	return n
 }
 
-// vanish drops an entry that was gone at a revision, or holds it for a while if it may
-// have lapsed. Late news may name one that has returned since.
-func (t *Table) vanish(name string, revision uint64, until, now time.Time) {
-	x := t.byName[name]
-	if x != nil && x.Revision > revision {
+// entryVanished removes an entry that was gone at a revision, or holds it for a while if it may
+// have expired. A late update may name one that has returned since.
+func (t *Table) entryVanished(name string, revision uint64, until, now time.Time) {
+	entry := t.byName[name]
+	if entry != nil && entry.Revision > revision {
 		return
 	}
-	t.noteGone(name, revision, x)
-	if x == nil || x.Held() {
-		return // it came and went since the last word, or is held already; others may know it
+	t.recordVanished(name, revision, entry)
+	if entry == nil || entry.Held() {
+		return // it came and went since the last update, or is held already; peers may know it
 	}
-	if !x.IsLeaving() && !x.Unusable && until.After(now) {
-		t.set(&Entry{Target: x.Target, until: until})
-		if t.mayLog() {
+	if !entry.IsLeaving() && !entry.Unusable && until.After(now) {
+		t.set(&Entry{Target: entry.Target, heldUntil: until})
+		if t.allowLog() {
 			t.entryLog(name).WithField("for_ms", until.Sub(now).Milliseconds()).Info("target's entry vanished, held")
 		}
 		return
 	}
 	t.remove(name, now)
-	if t.mayLog() {
+	if t.allowLog() {
 		t.entryLog(name).WithField("revision", uint64(t.revision)).Info("target gone")
 	}
 }
 
-// noteGone remembers that an entry vanished, for those who know less.
-func (t *Table) noteGone(name string, revision uint64, x *Entry) {
-	if len(t.gone) > maxGone {
-		t.gone, t.goneFrom = map[string]vanished{}, t.revision
+// recordVanished remembers that an entry vanished, for peers with an older state.
+func (t *Table) recordVanished(name string, revision uint64, entry *Entry) {
+	if len(t.vanished) > maxVanished {
+		t.vanished, t.vanishedFrom = map[string]vanishedEntry{}, t.revision
 	}
-	v := t.gone[name]
+	v := t.vanished[name]
 	v.revision = max(v.revision, revision)
-	if x != nil {
-		v.start = max(v.start, x.Start)
+	if entry != nil {
+		v.latestStart = max(v.latestStart, entry.Start)
 	}
-	t.gone[name] = v
+	t.vanished[name] = v
 }
 
-// Expire drops the held entries whose time is over, and words of targets that are; it says
-// whether readers see a difference.
+// Expire removes the held entries whose time is over, and leaving notices that have expired. It
+// reports whether readers see a difference.
 func (t *Table) Expire(now time.Time) bool {
-	changed := t.expireSaid(now)
+	changed := t.expireNotices(now)
 	for name := range t.held {
-		if !now.Before(t.byName[name].until) {
+		if !now.Before(t.byName[name].heldUntil) {
 			t.remove(name, now)
 			changed = true
 			t.entryLog(name).Info("target gone, its entry did not return")
@@ -94,31 +94,31 @@
 	return changed
 }
 
-// ChangesSince returns what changed after a revision: entries, and names that are gone. If
-// that is not known it returns all entries, and all is true; gone then names those among
-// them that vanished and are held here.
+// ChangesSince returns what changed after a revision: entries, and names that are gone. If that is
+// not known it returns all entries, and all is true; gone then names those of them that vanished
+// and are held here.
 func (t *Table) ChangesSince(revision platform.Version) (entries []catalog.Target, gone []string, all bool) {
-	if revision < t.goneFrom {
-		return t.all(), slices.Sorted(maps.Keys(t.held)), true
+	if revision < t.vanishedFrom {
+		return t.allTargets(), slices.Sorted(maps.Keys(t.held)), true
 	}
-	for _, x := range t.byName {
-		if !x.Held() && x.Revision > uint64(revision) {
-			entries = append(entries, x.Target)
+	for _, entry := range t.byName {
+		if !entry.Held() && entry.Revision > uint64(revision) {
+			entries = append(entries, entry.Target)
 		}
 	}
-	for name, v := range t.gone {
-		if x := t.byName[name]; v.revision > uint64(revision) && (x == nil || x.Held()) {
+	for name, v := range t.vanished {
+		if entry := t.byName[name]; v.revision > uint64(revision) && (entry == nil || entry.Held()) {
 			gone = append(gone, name)
 		}
 	}
 	return entries, gone, false
 }
 
-// all returns the entries that stand, held ones too.
-func (t *Table) all() []catalog.Target {
+// allTargets returns all targets in the table, held ones too.
+func (t *Table) allTargets() []catalog.Target {
 	out := make([]catalog.Target, 0, len(t.byName))
-	for _, x := range t.byName {
-		out = append(out, x.Target)
+	for _, entry := range t.byName {
+		out = append(out, entry.Target)
 	}
 	return out
 }
