--- a/internal/gateway/backoff_end_test.go
+++ b/internal/gateway/backoff_end_test.go
@@ -14,15 +14,15 @@
 )
 
 // twoServicesCodec declares two services: "s" on pathSafe, "other" on pathOnce.
-type twoServicesCodec struct{ restCodec }
+type twoServicesCodec struct{ backoffCodec }
 
-// Config implements Codec.
-func (twoServicesCodec) Config(value []byte) (*catalog.Config, error) {
-	var d declared
+// DecodeConfig implements Codec.
+func (twoServicesCodec) DecodeConfig(value []byte) (*catalog.Config, error) {
+	var d storedConfig
 	if err := json.Unmarshal(value, &d); err != nil {
 		return nil, err
 	}
-	route := catalog.Route{Host: hostAll, Timeout: 4 * time.Second, Objective: 500 * time.Millisecond}
+	route := catalog.Route{Host: anyHost, Timeout: 4 * time.Second, Objective: 500 * time.Millisecond}
 	one, other := route, route
 	one.Name, one.PathPrefix, one.Kind, one.MaxAttempts, one.Backends = "safe", pathSafe, catalog.Idempotent, 3, []catalog.Backend{{Service: "s", Weight: 1}}
 	other.Name, other.PathPrefix, other.Kind, other.MaxAttempts, other.Backends = "once", pathOnce, catalog.Once, 1, []catalog.Backend{{Service: "other", Weight: 1}}
@@ -30,15 +30,15 @@
 		Customers: []catalog.CustomerKeys{{Customer: catalog.Customer{Name: "one"}, Keys: d.Keys}}}), nil
 }
 
-// newTwoServices starts an instance before targets of "s" by scripts, and one of "other".
-func newTwoServices(t *testing.T, codec Codec, scripts ...restScript) *restFleet {
-	f := &restFleet{trafficFleet: newFleetWith(t, 1, 1, 0, fleetOptions{codec: codec})}
+// newTwoServicesFleet starts an instance before targets of "s" by scripts, and one of "other".
+func newTwoServicesFleet(t *testing.T, codec Codec, scripts ...responseScript) *backoffFleet {
+	f := &backoffFleet{trafficFleet: newFleetWith(t, 1, 1, 0, fleetOptions{codec: codec})}
 	for i, s := range append(scripts, served) {
-		m := &restTarget{f: f, name: "t-" + string(rune('a'+i)), script: s}
-		f.asking = append(f.asking, m)
+		m := &backoffTarget{f: f, name: "t-" + string(rune('a'+i)), script: s}
+		f.loadGenerators = append(f.loadGenerators, m)
 		m.start()
 		if i == len(scripts) {
-			f.store.set(memoryTargets, m.name, catalog.Target{Service: "other", Address: m.name + ":1", Zone: "z0", Start: m.born})
+			f.store.set(memoryTargets, m.name, catalog.Target{Service: "other", Address: m.name + ":1", Zone: "z0", Start: m.startedAt})
 		}
 	}
 	time.Sleep(2 * time.Second)
@@ -54,9 +54,9 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				f := newTwoServices(t, twoServicesCodec{}, func(since time.Duration, n int, body string) restReply {
+				f := newTwoServicesFleet(t, twoServicesCodec{}, func(since time.Duration, n int, body string) scriptedResponse {
 					if n == 1 {
-						return restReply{status: http.StatusServiceUnavailable, notRun: true, rest: rest}
+						return scriptedResponse{status: http.StatusServiceUnavailable, notRun: true, backoff: rest}
 					}
 					return served(since, n, body)
 				}, served, served)
@@ -70,7 +70,7 @@
 				all.Go(func() { press(pathOnce, 10*time.Millisecond, 20*time.Second) })
 				press(pathSafe, 50*time.Millisecond, 20*time.Second)
 				all.Wait()
-				reached := f.asking[0].reachedAll()
+				reached := f.loadGenerators[0].receivedAll()
 				is.True(len(reached) > 1)
 				is.True(reached[1].Sub(reached[0]) < rest+soon)
 			})
--- a/internal/gateway/blackholed_watchers_test.go
+++ b/internal/gateway/blackholed_watchers_test.go
@@ -10,9 +10,9 @@
 	"github.com/shedhoist/shedhoist/internal/catalog"
 )
 
-// inForceWithin is the aim: a change is in force at all instances that reach the store, or a
+// propagationBound is the aim: a change is in force at all instances that reach the store, or a
 // peer that does, so long after it was acknowledged.
-const inForceWithin = 3 * time.Second
+const propagationBound = 3 * time.Second
 
 // TestBlindWatchers guards against changes that come late since the store is silent to all that watch it.
 func TestBlindWatchers(t *testing.T) {
@@ -21,23 +21,23 @@
 			f := newMemoryFleet(t, n, 4)
 			defer f.stop()
 			for _, i := range f.byRank(watcherRole)[:n/3] {
-				f.doors[i].shut(true)
+				f.storeClients[i].setSilent(true)
 			}
 			time.Sleep(80 * time.Millisecond)
 			for v := uint64(13); v <= 22; v++ {
-				f.store.set(memoryConfigs, memoryConfig, declared{Version: v})
+				f.store.set(memoryConfigs, memoryConfig, storedConfig{Version: v})
 				time.Sleep(50 * time.Millisecond)
 			}
 			f.store.set(memoryTargets, "i-1", catalog.Target{Address: "10.1.0.1:1", Leaving: true})
 			f.store.set(memoryVersions, "m", 2)
-			time.Sleep(inForceWithin)
+			time.Sleep(propagationBound)
 			is := is.New(t)
-			for _, g := range f.gates {
+			for _, g := range f.gateways {
 				v := g.view.Load()
 				is.Equal(v.Config.Version, uint64(22))
 				is.True(v.Config.Customer("key") == nil)
 				is.Equal(len(v.Serving["s"]), 0)
-				is.Equal(v.Named["m"].Version, uint64(2))
+				is.Equal(v.NamedVersions["m"].Newest, uint64(2))
 			}
 		})
 	}
--- a/internal/gateway/bootstrap.go
+++ b/internal/gateway/bootstrap.go
@@ -22,11 +22,11 @@
 const (
 	// bootstrapEvery is how often the first-ranked instance looks whether the object
 	// names live instances, and a lonely one looks for others.
-	bootstrapEvery = 5 * time.Second
-	lonelyEvery    = time.Second
-	// bootstrapSize is how many addresses the object holds, whatever the size of the
+	bootstrapEvery     = 5 * time.Second
+	soloBootstrapEvery = time.Second
+	// maxBootstrapAddresses is how many addresses the object holds, whatever the size of the
 	// fleet: one live one is enough to learn of all others.
-	bootstrapSize = 8
+	maxBootstrapAddresses = 8
 )
 
 // bootstrap is the object's value.
@@ -34,16 +34,16 @@
 	Addresses []string `json:"addresses"` // of peers' listeners, sorted
 }
 
-// keepBootstrap keeps the bootstrap object useful, or uses it.
-func (g *Gateway) keepBootstrap(ctx context.Context) {
-	wait.For(ctx, joinTime) // most join by way of a seed
+// maintainBootstrap keeps the bootstrap object useful, or uses it.
+func (g *Gateway) maintainBootstrap(ctx context.Context) {
+	wait.For(ctx, joinWindow) // most join by way of a seed
 	for ctx.Err() == nil {
 		alive := g.view.Load().Alive
 		every := bootstrapEvery
 		switch {
 		case len(alive) <= 1:
-			every = lonelyEvery
-			g.lookForOthers(ctx)
+			every = soloBootstrapEvery
+			g.findInstances(ctx)
 		case rankOf(alive, g.settings().Name, bootstrapName) == 0:
 			g.refreshBootstrap(ctx)
 		}
@@ -53,9 +53,9 @@
 	}
 }
 
-// lookForOthers greets whom the object names, and adds this instance if it names
+// findInstances greets whom the object names, and adds this instance if it names
 // nobody else.
-func (g *Gateway) lookForOthers(ctx context.Context) {
+func (g *Gateway) findInstances(ctx context.Context) {
 	m, version, err := g.readBootstrap(ctx)
 	if err != nil {
 		return // logged; tried again soon
@@ -63,10 +63,10 @@
 	own := g.PeerAddr()
 	for _, a := range m.Addresses {
 		if a != own {
-			g.greet(a)
+			g.joinVia(a)
 		}
 	}
-	if !slices.Contains(m.Addresses, own) && len(m.Addresses) < bootstrapSize {
+	if !slices.Contains(m.Addresses, own) && len(m.Addresses) < maxBootstrapAddresses {
 		g.writeBootstrap(ctx, append(m.Addresses, own), version)
 	}
 }
@@ -79,7 +79,7 @@
 		return // logged; tried again soon
 	}
 	var live []string
-	g.query(func(c *control) {
+	g.queryControl(func(c *controlState) {
 		for _, x := range c.members.Members() {
 			if x.State == member.Alive {
 				live = append(live, x.Address)
@@ -92,10 +92,10 @@
 			good++
 		}
 	}
-	if 2*good >= min(bootstrapSize, len(live)) {
+	if 2*good >= min(maxBootstrapAddresses, len(live)) {
 		return
 	}
-	g.writeBootstrap(ctx, live[:min(bootstrapSize, len(live))], version)
+	g.writeBootstrap(ctx, live[:min(maxBootstrapAddresses, len(live))], version)
 }
 
 func (g *Gateway) readBootstrap(ctx context.Context) (bootstrap, platform.Version, error) {
--- a/internal/gateway/cache.go
+++ b/internal/gateway/cache.go
@@ -18,39 +18,39 @@
 
 // Times of following a cache store.
 const (
-	// pollWait is how long a poll of a store's events waits for one.
-	pollWait = 200 * time.Millisecond
-	// pollGap is the pause between polls: events that come meanwhile are told by
+	// storePollWait is how long a poll of a store's events waits for one.
+	storePollWait = 200 * time.Millisecond
+	// storePollGap is the pause between polls: events that come meanwhile are told by
 	// the next one together.
-	pollGap = 100 * time.Millisecond
-	// inventoryAge is how old a store's last word may be for a fetch: one that does not
+	storePollGap = 100 * time.Millisecond
+	// maxInventoryAge is how old a store's last word may be for a fetch: one that does not
 	// answer for longer may have started again, empty.
-	inventoryAge = 1600 * time.Millisecond
-	// relistEvery is how often a store is listed anew, and relistSoon the same where events
+	maxInventoryAge = 1600 * time.Millisecond
+	// relistEvery is how often a store is listed anew, and gapRelistEvery the same where events
 	// were lost: until then nothing is saved there.
-	relistEvery = 12 * time.Second
-	relistSoon  = time.Second
+	relistEvery    = 12 * time.Second
+	gapRelistEvery = time.Second
 	// listLead is how much earlier a list may tell of a part than events do.
 	listLead = time.Second
-	// storesEvery is how often the configuration is looked at for new stores, and
-	// storesFirst the same until there is one: a new process reads prompts that the
+	// storesCheckEvery is how often the configuration is looked at for new stores, and
+	// storesCheckFirst the same until there is one: a new process reads prompts that the
 	// stores hold until it has listed them.
-	storesEvery = 500 * time.Millisecond
-	storesFirst = 10 * time.Millisecond
-	// saveMemory is how long an own save counts as under way.
-	saveMemory = 3 * time.Second
-	// leastKept is the smallest part that is worth a store's space, in tokens:
+	storesCheckEvery = 500 * time.Millisecond
+	storesCheckFirst = 10 * time.Millisecond
+	// recentSaveTTL is how long an own save counts as under way.
+	recentSaveTTL = 3 * time.Second
+	// minSavedTokens is the smallest part that is worth a store's space, in tokens:
 	// reading it again takes about as long as a transfer's fixed delay.
-	leastKept = 64
+	minSavedTokens = 64
 )
 
-// bounds keep saves and fetches apart, see stock.Bounds. They are the same for all
+// cacheBounds keep saves and fetches apart, see stock.Bounds. They are the same for all
 // instances, whichever way they hear of the stores.
-var bounds = stock.Bounds{
+var cacheBounds = stock.Bounds{
 	SaveAge:   500 * time.Millisecond, // two polls and a step of the tree, where nothing is slow
 	SaveTime:  300 * time.Millisecond,
-	FetchAge:  inventoryAge + relayAge,
-	FetchTime: longestFetch,
+	FetchAge:  maxInventoryAge + maxRelayAge,
+	FetchTime: maxFetchTime,
 }
 
 // cacheDirectory is what this instance knows of all cache stores.
@@ -59,41 +59,41 @@
 
 	process uint64 // tells this process's numbers from those of one before
 
-	mu          sync.Mutex
-	inventories map[string]*inventory // by address
-	journal     stock.Journal
-	saving      map[stock.Key]time.Time
-	saves       stock.Saves
-	clock       float64   // servers' clock, ms, at clockAt
-	clockAt     time.Time // zero: not known
+	mu            sync.Mutex
+	inventories   map[string]*storeInventory // by address
+	journal       stock.Journal
+	recentSaves   map[stock.Key]time.Time
+	pendingSaves  stock.Saves
+	serverClock   float64   // servers' clock, ms, at serverClockAt
+	serverClockAt time.Time // zero: not known
 }
 
-type inventory struct {
+type storeInventory struct {
 	stock.Inventory
-	cancel context.CancelFunc // ends the polls; nil: told by other instances
-	listed time.Time
+	stopPolling context.CancelFunc // ends the polls; nil: told by other instances
+	listedAt    time.Time
 }
 
-// ageLimit is how old the store's last word may be, see inventoryAge; one that came by
+// maxAge is how old the store's last word may be, see maxInventoryAge; one that came by
 // way of other instances is older.
-func (s *inventory) ageLimit() time.Duration {
-	if s.cancel == nil {
-		return inventoryAge + relayAge
+func (s *storeInventory) maxAge() time.Duration {
+	if s.stopPolling == nil {
+		return maxInventoryAge + maxRelayAge
 	}
-	return inventoryAge
+	return maxInventoryAge
 }
 
 func newCacheDirectory(g *Gateway) *cacheDirectory {
-	return &cacheDirectory{g: g, process: rand.Uint64(), inventories: map[string]*inventory{}, saving: map[stock.Key]time.Time{}}
+	return &cacheDirectory{g: g, process: rand.Uint64(), inventories: map[string]*storeInventory{}, recentSaves: map[stock.Key]time.Time{}}
 }
 
 // run keeps the inventories of the stores that the configuration names, until ctx ends.
 func (c *cacheDirectory) run(ctx context.Context) {
 	for {
-		every := storesFirst
+		every := storesCheckFirst
 		if cfg := c.g.view.Load().Config; cfg != nil {
-			c.follow(ctx, cfg.Stores, c.place())
-			every = storesEvery
+			c.followStores(ctx, cfg.Stores, c.treePosition())
+			every = storesCheckEvery
 		}
 		if !wait.For(ctx, every) {
 			return
@@ -101,8 +101,8 @@
 	}
 }
 
-// follow makes an inventory for each store, and starts and ends the polls of them.
-func (c *cacheDirectory) follow(ctx context.Context, stores []catalog.CacheStore, at position) {
+// followStores makes an inventory for each store, and starts and ends the polls of them.
+func (c *cacheDirectory) followStores(ctx context.Context, stores []catalog.CacheStore, at treePosition) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	named := map[string]bool{}
@@ -110,40 +110,40 @@
 		named[s.Address] = true
 		sh := c.inventories[s.Address]
 		if sh == nil {
-			sh = &inventory{}
+			sh = &storeInventory{}
 			c.inventories[s.Address] = sh
 		}
-		if at.follows == (sh.cancel != nil) {
+		if at.polls == (sh.stopPolling != nil) {
 			continue
 		}
-		if !at.follows {
-			sh.cancel()
-			sh.cancel = nil
+		if !at.polls {
+			sh.stopPolling()
+			sh.stopPolling = nil
 			continue
 		}
 		own, cancel := context.WithCancel(ctx)
-		sh.cancel, sh.listed = cancel, time.Time{}
-		c.g.start(func() { c.poll(own, s, sh) })
+		sh.stopPolling, sh.listedAt = cancel, time.Time{}
+		c.g.spawn(func() { c.pollStore(own, s, sh) })
 	}
 	for address, sh := range c.inventories {
 		if named[address] {
 			continue
 		}
-		if sh.cancel != nil {
-			sh.cancel()
+		if sh.stopPolling != nil {
+			sh.stopPolling()
 		}
 		delete(c.inventories, address)
 	}
 	now := c.g.now()
-	for k, at := range c.saving {
-		if now.Sub(at) > saveMemory {
-			delete(c.saving, k)
+	for k, at := range c.recentSaves {
+		if now.Sub(at) > recentSaveTTL {
+			delete(c.recentSaves, k)
 		}
 	}
 }
 
-// listed takes all that a store holds; c.mu is held.
-func (c *cacheDirectory) listed(sh *inventory, address string, w stock.Answer, held []stock.Held) {
+// listedAt takes all that a store holds; c.mu is held.
+func (c *cacheDirectory) applyList(sh *storeInventory, address string, w stock.Answer, held []stock.Held) {
 	changes, anew := sh.List(w, held)
 	if anew {
 		c.journal.Renew(address)
@@ -151,8 +151,8 @@
 	c.journal.Add(address, changes)
 }
 
-// poll keeps one store's inventory up to date.
-func (c *cacheDirectory) poll(ctx context.Context, s catalog.CacheStore, sh *inventory) {
+// pollStore keeps one store's inventory up to date.
+func (c *cacheDirectory) pollStore(ctx context.Context, s catalog.CacheStore, sh *storeInventory) {
 	entry := c.g.log.WithField("store", s.Name).WithField("address", s.Address)
 	failures := 0
 	for ctx.Err() == nil {
@@ -165,7 +165,7 @@
 				entry.Info("cache store reached")
 			}
 			failures = 0
-			wait.For(ctx, pollGap)
+			wait.For(ctx, storePollGap)
 			continue
 		}
 		c.mu.Lock()
@@ -175,25 +175,25 @@
 			entry.WithError(err).Warn("cache store lost")
 		}
 		metric.StoreErrors(s.Name).Inc()
-		wait.For(ctx, pause(failures))
+		wait.For(ctx, retryPause(failures))
 	}
 }
 
 // pollOnce lists the store, or asks it for events.
-func (c *cacheDirectory) pollOnce(ctx context.Context, address string, sh *inventory, entry log.Interface) error {
+func (c *cacheDirectory) pollOnce(ctx context.Context, address string, sh *storeInventory, entry log.Interface) error {
 	c.mu.Lock()
 	_, next, known := sh.Position()
 	every := relistEvery
 	if sh.HasGap() {
-		every = relistSoon
+		every = gapRelistEvery
 	}
-	fresh := known && c.g.now().Sub(sh.listed) < every
+	fresh := known && c.g.now().Sub(sh.listedAt) < every
 	c.mu.Unlock()
 	if !fresh {
-		return c.list(ctx, address, sh, entry)
+		return c.listStore(ctx, address, sh, entry)
 	}
 	asked := c.g.now()
-	p, err := c.g.engines.CacheEvents(ctx, address, next, pollWait)
+	p, err := c.g.engines.CacheEvents(ctx, address, next, storePollWait)
 	if err != nil {
 		return err
 	}
@@ -202,9 +202,9 @@
 	if ctx.Err() != nil {
 		return ctx.Err() // others tell of the store by now
 	}
-	c.setClock(p.ClockMS)
+	c.setServerClock(p.ClockMS)
 	now := c.g.now()
-	told := sh.Apply(answerOfStore(p.Epoch, p.Next, polledAt(asked, now, len(p.Events)), now), p.Gap, p.Events)
+	told := sh.Apply(directAnswer(p.Epoch, p.Next, pollValidAt(asked, now, len(p.Events)), now), p.Gap, p.Events)
 	if _, _, known = sh.Position(); known {
 		c.journal.Add(address, p.Events)
 	}
@@ -214,22 +214,22 @@
 	return nil
 }
 
-// polledAt is as of when a poll's answer holds: one without events comes when the poll has
+// pollValidAt is as of when a poll's answer holds: one without events comes when the poll has
 // waited its time.
-func polledAt(asked, heard time.Time, events int) time.Time {
-	if waited := asked.Add(pollWait); events == 0 && !heard.Before(waited) {
+func pollValidAt(asked, heard time.Time, events int) time.Time {
+	if waited := asked.Add(storePollWait); events == 0 && !heard.Before(waited) {
 		return waited
 	}
 	return asked
 }
 
-// answerOfStore is an answer of a store itself.
-func answerOfStore(epoch, next uint64, asOf, heard time.Time) stock.Answer {
+// directAnswer is an answer of a store itself.
+func directAnswer(epoch, next uint64, asOf, heard time.Time) stock.Answer {
 	return stock.Answer{Epoch: epoch, Next: next, AsOf: asOf, Whole: asOf, Heard: heard}
 }
 
-// list asks a store for all that it holds.
-func (c *cacheDirectory) list(ctx context.Context, address string, sh *inventory, entry log.Interface) error {
+// listStore asks a store for all that it holds.
+func (c *cacheDirectory) listStore(ctx context.Context, address string, sh *storeInventory, entry log.Interface) error {
 	asked := c.g.now()
 	l, err := c.g.engines.CacheList(ctx, address)
 	if err != nil {
@@ -244,140 +244,140 @@
 	for i := range l.Held {
 		l.Held[i].At = now.Add(listLead)
 	}
-	c.listed(sh, address, answerOfStore(l.Epoch, l.Next, asked, now), l.Held)
+	c.applyList(sh, address, directAnswer(l.Epoch, l.Next, asked, now), l.Held)
 	sh.Broken(l.Partial, asked)
-	sh.listed = asked
-	c.setClock(l.ClockMS)
+	sh.listedAt = asked
+	c.setServerClock(l.ClockMS)
 	entry.WithField("epoch", l.Epoch).WithField("parts", len(l.Held)).WithField("partial", len(l.Partial)).WithField("tokens", sh.Used()).WithField("unreadable", l.Unreadable).Info("cache store listed")
 	return nil
 }
 
-// setClock takes a server's clock as just told; c.mu is held.
-func (c *cacheDirectory) setClock(ms float64) {
+// setServerClock takes a server's clock as just told; c.mu is held.
+func (c *cacheDirectory) setServerClock(ms float64) {
 	if ms > 0 {
-		c.clock, c.clockAt = ms, c.g.now()
+		c.serverClock, c.serverClockAt = ms, c.g.now()
 	}
 }
 
-// clockMS is what the servers' clock will show after d; 0 if it is not known.
-func (c *cacheDirectory) clockMS(d time.Duration) int64 {
+// serverClockMS is what the servers' clock will show after d; 0 if it is not known.
+func (c *cacheDirectory) serverClockMS(d time.Duration) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.clockAt.IsZero() {
+	if c.serverClockAt.IsZero() {
 		return 0
 	}
-	return int64(c.clock + float64(c.g.now().Add(d).Sub(c.clockAt))/float64(time.Millisecond))
+	return int64(c.serverClock + float64(c.g.now().Add(d).Sub(c.serverClockAt))/float64(time.Millisecond))
 }
 
-// sources finds the parts of a prompt that stores hold. The last part is the
+// findParts finds the parts of a prompt that stores hold. The last part is the
 // request's own: nobody asks for it again, and it is not looked for.
-func (c *cacheDirectory) sources(stores []catalog.CacheStore, salt string, parts []Part) []partSource {
+func (c *cacheDirectory) findParts(stores []catalog.CacheStore, salt string, parts []Part) []partSource {
 	out := make([]partSource, len(parts))
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.clockAt.IsZero() {
+	if c.serverClockAt.IsZero() {
 		return out // no end could be stated for a fetch
 	}
 	now := c.g.now()
-	late := c.late(now)
+	late := c.pendingSavesAt(now)
 	for i, p := range parts[:max(len(parts)-1, 0)] {
 		key := stock.Key{Salt: salt, Part: p.ID}
-		switch src := c.find(stores, key, now); {
-		case src.tokens >= p.Tokens && !c.isLate(key, late, now):
+		switch src := c.findPart(stores, key, now); {
+		case src.tokens >= p.Tokens && !c.hasPendingSave(key, late, now):
 			out[i] = src
 		case src.tokens >= p.Tokens:
 			metric.BlockedFetches.Inc()
-		case c.held(stores, key, now):
+		case c.isHeld(stores, key, now):
 			metric.DelayedFetches.Inc()
 		}
 	}
 	return out
 }
 
-// isLate says whether a save of a part is late: this instance's own, or another's.
-func (c *cacheDirectory) isLate(k stock.Key, own []loads.Key, now time.Time) bool {
+// hasPendingSave says whether a save of a part is late: this instance's own, or another's.
+func (c *cacheDirectory) hasPendingSave(k stock.Key, own []loads.Key, now time.Time) bool {
 	key := partKey(k)
-	return slices.Contains(own, key) || c.g.lateSaves.Has(key, now)
+	return slices.Contains(own, key) || c.g.peerPendingSaves.Has(key, now)
 }
 
-// plan says for each part where it is fetched from, and where it is kept if no
+// planParts says for each part where it is fetched from, and where it is kept if no
 // store is known to have it: by preference in the zone of the target that reads it. keep
 // says whether anything is to be kept. It is not at a target that has been silent: the
 // request may be held up on its way for as long as its caller waits, and the store may have
 // started again by then. It would write anew what others fetch by what they knew before.
-func (c *cacheDirectory) plan(stores []catalog.CacheStore, salt string, version uint64, parts []Part, from []partSource, fetch []bool, zone string, keep bool) cachePlan {
-	out := cachePlan{version: version}
+func (c *cacheDirectory) planParts(stores []catalog.CacheStore, salt string, version uint64, parts []Part, from []partSource, fetch []bool, zone string, keep bool) cachePlan {
+	out := cachePlan{weightVersion: version}
 	if len(parts) < 2 || len(stores) == 0 {
 		return out
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.g.now()
-	keep = keep && len(c.late(now)) < loads.MostLateSaves
+	keep = keep && len(c.pendingSavesAt(now)) < loads.MostLateSaves
 	out.parts = make([]PartPlan, len(parts))
 	for i, p := range parts[:len(parts)-1] {
 		key := stock.Key{Salt: salt, Part: p.ID}
 		if from[i].store != nil {
 			// Time may have passed since the parts were looked for: this process may have stood still.
-			if src := c.find(stores, key, now); fetch[i] && src.tokens >= p.Tokens {
+			if src := c.findPart(stores, key, now); fetch[i] && src.tokens >= p.Tokens {
 				out.parts[i].FetchFrom, out.parts[i].FetchTokens = src.store.Address, src.tokens
-				out.fetches++
+				out.fetchCount++
 			}
 			continue
 		}
 		if !keep {
 			continue
 		}
-		if to := c.home(stores, key, p.Tokens, i == 0 && c.g.settings().Policy.HeadsApart, zone, now); to != "" {
+		if to := c.chooseStore(stores, key, p.Tokens, i == 0 && c.g.settings().Policy.HeadsApart, zone, now); to != "" {
 			out.parts[i].SaveTo = to
-			c.saving[key] = now
-			out.saved = append(out.saved, key)
+			c.recentSaves[key] = now
+			out.savedKeys = append(out.savedKeys, key)
 		}
 	}
 	return out
 }
 
-// find returns the store that holds most of a part; c.mu is held.
-func (c *cacheDirectory) find(stores []catalog.CacheStore, key stock.Key, now time.Time) partSource {
+// findPart returns the store that holds most of a part; c.mu is held.
+func (c *cacheDirectory) findPart(stores []catalog.CacheStore, key stock.Key, now time.Time) partSource {
 	var out partSource
 	for i := range stores {
 		sh := c.inventories[stores[i].Address]
 		if sh == nil {
 			continue
 		}
-		if n := sh.Fetchable(key, now, sh.ageLimit(), bounds, c.knownToAll(stores[i].Address, now)); n > out.tokens {
+		if n := sh.Fetchable(key, now, sh.maxAge(), cacheBounds, c.reachedByAll(stores[i].Address, now)); n > out.tokens {
 			out = partSource{store: &stores[i], tokens: n}
 		}
 	}
 	return out
 }
 
-// held says whether a store is known to hold a part, though it may not be fetched yet; c.mu
+// isHeld says whether a store is known to hold a part, though it may not be fetched yet; c.mu
 // is held.
-func (c *cacheDirectory) held(stores []catalog.CacheStore, key stock.Key, now time.Time) bool {
+func (c *cacheDirectory) isHeld(stores []catalog.CacheStore, key stock.Key, now time.Time) bool {
 	for _, s := range stores {
-		if sh := c.inventories[s.Address]; sh != nil && sh.Tokens(key, now, sh.ageLimit()) > 0 {
+		if sh := c.inventories[s.Address]; sh != nil && sh.Tokens(key, now, sh.maxAge()) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// home returns the address of the store to keep a part in; "" if none is to.
-func (c *cacheDirectory) home(stores []catalog.CacheStore, key stock.Key, tokens int, head bool, zone string, now time.Time) string {
-	if tokens < leastKept {
+// chooseStore returns the address of the store to keep a part in; "" if none is to.
+func (c *cacheDirectory) chooseStore(stores []catalog.CacheStore, key stock.Key, tokens int, head bool, zone string, now time.Time) string {
+	if tokens < minSavedTokens {
 		return ""
 	}
-	if at, ok := c.saving[key]; ok && now.Sub(at) < saveMemory {
+	if at, ok := c.recentSaves[key]; ok && now.Sub(at) < recentSaveTTL {
 		return ""
 	}
-	if c.held(stores, key, now) {
+	if c.isHeld(stores, key, now) {
 		return ""
 	}
 	near := c.g.settings().Policy.StoreZones
 	var places []stock.Place
 	for _, s := range stores {
-		if sh := c.inventories[s.Address]; sh != nil && sh.Savable(key, now, bounds) {
+		if sh := c.inventories[s.Address]; sh != nil && sh.Savable(key, now, cacheBounds) {
 			places = append(places, stock.Place{Address: s.Address, Capacity: s.Capacity, Used: sh.Used(), FirstByte: s.FirstByte, Near: near && s.Zone == zone})
 		}
 	}
--- a/internal/gateway/cache_collector.go
+++ b/internal/gateway/cache_collector.go
@@ -13,39 +13,39 @@
 
 // Times and sizes of freeing.
 const (
-	// collectTick is how often an instance looks for what can be freed.
-	collectTick = 400 * time.Millisecond
-	// settleTime is how long all targets must have been seen with newer weights
+	// collectInterval is how often an instance looks for what can be freed.
+	collectInterval = 400 * time.Millisecond
+	// versionSettleTime is how long all targets must have been seen with newer weights
 	// before older cache is freed. A target with newer weights refuses requests that
 	// expect older ones, so that none can fetch it; this covers lists that differ by
 	// what is being told.
-	settleTime = time.Second
-	// lingerTime is how long a target that left the list counts as serving: others
+	versionSettleTime = time.Second
+	// departedTTL is how long a target that left the list counts as serving: others
 	// may hold on to it for registry.ReturnTime, with a fetch under way.
-	lingerTime = registry.ReturnTime + longestFetch
-	// freeTime is how long an order to free may be under way.
-	freeTime = time.Second
-	// freeBatch is how many parts one call frees.
-	freeBatch = 1000
-	// brokenTime is how long a part must have been incomplete, without any more of
+	departedTTL = registry.ReturnTime + maxFetchTime
+	// freeTimeout is how long an order to free may be under way.
+	freeTimeout = time.Second
+	// maxFreeBatch is how many parts one call frees.
+	maxFreeBatch = 1000
+	// incompleteTimeout is how long a part must have been incomplete, without any more of
 	// it coming, to be taken for broken off: a save takes well under a second.
-	brokenTime = 10 * time.Second
+	incompleteTimeout = 10 * time.Second
 )
 
 // collectGarbage frees cache of weights that no target serves any more, and parts that
 // broke off, in the stores that fall to this instance. Two that both think so do
 // no harm: what they free is nobody's.
 func (c *cacheDirectory) collectGarbage(ctx context.Context) {
-	var settled settling
-	for wait.For(ctx, wait.Jitter(collectTick)) {
+	var settled versionSettling
+	for wait.For(ctx, wait.Jitter(collectInterval)) {
 		v := c.g.view.Load()
-		if v.Config == nil || v.Draining || !v.StoreOK {
+		if v.Config == nil || v.Draining || !v.StoreReachable {
 			continue // what targets serve is not known for sure
 		}
 		// Only those that follow a store know of the parts that broke off there.
-		follow := v.Tree.followers()
+		follow := v.Tree.pollers()
 		if !slices.Contains(follow, c.g.settings().Name) {
-			settled = settling{} // it was not looked at meanwhile
+			settled = versionSettling{} // it was not looked at meanwhile
 			continue
 		}
 		oldest := settled.update(oldestServed(v, c.g.now()), c.g.now())
@@ -75,31 +75,31 @@
 		add(t.Models)
 	}
 	for _, d := range v.Departed {
-		if now.Sub(d.At) < lingerTime {
+		if now.Sub(d.At) < departedTTL {
 			add(d.Models)
 		}
 	}
 	return out
 }
 
-// settling remembers since when versions have been the oldest served.
-type settling struct {
-	at    map[string]uint64
-	since map[string]time.Time
+// versionSettling remembers since when versions have been the oldest served.
+type versionSettling struct {
+	versions map[string]uint64
+	since    map[string]time.Time
 }
 
 // update takes the oldest versions as seen now, and returns those that have been
 // so for long enough.
-func (s *settling) update(oldest map[string]uint64, now time.Time) map[string]uint64 {
-	if s.at == nil {
-		s.at, s.since = map[string]uint64{}, map[string]time.Time{}
+func (s *versionSettling) update(oldest map[string]uint64, now time.Time) map[string]uint64 {
+	if s.versions == nil {
+		s.versions, s.since = map[string]uint64{}, map[string]time.Time{}
 	}
 	out := map[string]uint64{}
 	for model, version := range oldest {
-		if s.at[model] != version {
-			s.at[model], s.since[model] = version, now
+		if s.versions[model] != version {
+			s.versions[model], s.since[model] = version, now
 		}
-		if now.Sub(s.since[model]) >= settleTime {
+		if now.Sub(s.since[model]) >= versionSettleTime {
 			out[model] = version
 		}
 	}
@@ -112,15 +112,15 @@
 	sh := c.inventories[address]
 	var parts []stock.Key
 	var epoch uint64
-	if sh != nil && sh.Known(c.g.now(), sh.ageLimit()) {
-		parts = append(sh.Older(oldest, freeBatch), sh.Stuck(brokenTime)...)
+	if sh != nil && sh.Known(c.g.now(), sh.maxAge()) {
+		parts = append(sh.Older(oldest, maxFreeBatch), sh.Stuck(incompleteTimeout)...)
 		epoch, _, _ = sh.Position()
 	}
 	c.mu.Unlock()
 	if len(parts) == 0 {
 		return
 	}
-	err := c.g.engines.Free(ctx, address, epoch, c.clockMS(freeTime), parts)
+	err := c.g.engines.Free(ctx, address, epoch, c.serverClockMS(freeTimeout), parts)
 	c.g.log.WithField("address", address).WithField("parts", len(parts)).WithField("oldest", oldest).WithField("epoch", epoch).
 		WithField("error", errText(err)).Info("old cache freed")
 	if err != nil {
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -15,55 +15,55 @@
 // What place.Decide is asked for each attempt, and what becomes of a request that it
 // refuses.
 
-// leastFit is how many of the candidates must be fit for the request; if fewer are, more
+// minFitCandidates is how many of the candidates must be fit for the request; if fewer are, more
 // are looked for among all targets of the service.
-const leastFit = 8
+const minFitCandidates = 8
 
-// pick decides on the next attempt: its target, or nil if there is to be none.
-func (x *exchange) pick() (*catalog.Target, place.Decision) {
-	resting := x.g.ejected.Sick()
+// chooseTarget decides on the next attempt: its target, or nil if there is to be none.
+func (x *exchange) chooseTarget() (*catalog.Target, place.Decision) {
+	resting := x.g.breaker.Sick()
 	candidates, serving := x.view.Candidates[x.service], x.view.Serving[x.service]
-	x.dark, x.restEnds = x.g.darkNow(serving), x.g.ejected.Asked()
-	if len(candidates) < len(serving) && x.countFit(candidates, resting) < leastFit {
-		candidates = x.widen(serving, resting)
+	x.unreachableZones, x.backoffUntil = x.g.unreachableZones(serving), x.g.breaker.Asked()
+	if len(candidates) < len(serving) && x.countFit(candidates, resting) < minFitCandidates {
+		candidates = x.widenCandidates(serving, resting)
 	}
-	options, works := x.options(candidates, resting)
-	query := x.query()
+	options, works := x.placementTargets(candidates, resting)
+	query := x.placementQuery()
 	for {
 		d := place.Decide(options, query)
 		if d.Action != place.Send {
 			return nil, d
 		}
 		t := candidates[d.Index]
-		if x.g.ejected.Asks(t.ID) {
-			x.restEnds = x.g.ejected.Asked()
+		if x.g.breaker.Asks(t.ID) {
+			x.backoffUntil = x.g.breaker.Asked()
 			options[d.Index].AsksRest = true // another request was told meanwhile
 			continue
 		}
-		if !options[d.Index].Resting && !x.g.ejected.Try(t.ID) {
+		if !options[d.Index].Resting && !x.g.breaker.Try(t.ID) {
 			options[d.Index].Resting = true // another request tries it
 			continue
 		}
-		if x.enter(t, x.g.now()) {
-			x.asks, x.predictedMS = works[d.Index], options[d.Index].FirstMS
+		if x.takeWarmupSlot(t, x.g.now()) {
+			x.promptWork, x.predictedMS = works[d.Index], options[d.Index].FirstMS
 			return t, d
 		}
 		options[d.Index].Closed = true // another request was faster
 	}
 }
 
-// query is the request as place sees it.
-func (x *exchange) query() place.Query {
+// placementQuery is the request as place sees it.
+func (x *exchange) placementQuery() place.Query {
 	set := x.g.settings()
-	q := place.Query{Zone: set.Zone, Rollout: set.RolloutWithin, CrowdMS: x.crowdMS(), Bytes: len(x.body), Rand: rand.Float64, Policy: set.Policy,
-		Tokens: x.call.keeps(), Begun: x.begun || x.ran > 0}
+	q := place.Query{Zone: set.Zone, Rollout: set.RolloutWithin, CrowdMS: x.concurrencyPenaltyMS(), Bytes: len(x.body), Rand: rand.Float64, Policy: set.Policy,
+		Tokens: x.call.memoryTokens(), Begun: x.headerSent || x.possibleRuns > 0}
 	p := x.call.Prompt
 	if p == nil || len(p.Parts) < 2 {
 		return q
 	}
 	shared := p.Parts[:len(p.Parts)-1]
 	q.Subject = shared[len(shared)-1].ID
-	if src := x.sourcesOf(max(x.view.Named[p.Model].Version, 1))[len(shared)-1]; src.store != nil && set.Policy.StoreZones {
+	if src := x.partSourcesFor(max(x.view.NamedVersions[p.Model].Newest, 1))[len(shared)-1]; src.store != nil && set.Policy.StoreZones {
 		q.KeptIn = src.store.Zone
 	}
 	tokens := 0
@@ -76,75 +76,75 @@
 	return q
 }
 
-// fit says whether a target serves the request's model with the newest weights, was not
+// isFit says whether a target serves the request's model with the newest weights, was not
 // tried, does not rest, and bears a request of this instance.
-func (x *exchange) fit(t *catalog.Target, resting []string) bool {
-	if x.tried(t) || x.asksRest(t) || slices.Contains(resting, t.ID) || x.dark[t.Zone] {
+func (x *exchange) isFit(t *catalog.Target, resting []string) bool {
+	if x.isExcluded(t) || x.inBackoff(t) || slices.Contains(resting, t.ID) || x.unreachableZones[t.Zone] {
 		return false
 	}
-	if closed, _ := x.closed(t, x.g.now()); closed {
+	if closed, _ := x.warmupBlocked(t, x.g.now()); closed {
 		return false
 	}
 	p := x.call.Prompt
-	return p == nil || t.VersionOf(p.Model) >= max(x.view.Named[p.Model].Version, 1)
+	return p == nil || t.VersionOf(p.Model) >= max(x.view.NamedVersions[p.Model].Newest, 1)
 }
 
-// asksRest says whether a target wants no requests, as of this attempt.
-func (x *exchange) asksRest(t *catalog.Target) bool {
-	_, asks := x.restEnds[t.ID]
+// inBackoff says whether a target wants no requests, as of this attempt.
+func (x *exchange) inBackoff(t *catalog.Target) bool {
+	_, asks := x.backoffUntil[t.ID]
 	return asks
 }
 
 func (x *exchange) countFit(targets []*catalog.Target, resting []string) int {
 	n := 0
 	for _, t := range targets {
-		if x.fit(t, resting) {
+		if x.isFit(t, resting) {
 			n++
 		}
 	}
 	return n
 }
 
-// widen takes as many as are considered at a time from all targets of a service, the fit
+// widenCandidates takes as many as are considered at a time from all targets of a service, the fit
 // ones first, and those that ask for rest last, from a random one on.
-func (x *exchange) widen(serving []*catalog.Target, resting []string) []*catalog.Target {
+func (x *exchange) widenCandidates(serving []*catalog.Target, resting []string) []*catalog.Target {
 	var good, rest, asking []*catalog.Target
 	start := rand.IntN(len(serving))
 	for i := range serving {
 		t := serving[(start+i)%len(serving)]
 		switch {
-		case x.fit(t, resting):
+		case x.isFit(t, resting):
 			good = append(good, t)
-		case x.asksRest(t):
+		case x.inBackoff(t):
 			asking = append(asking, t)
-		case len(rest) < mostCandidates:
+		case len(rest) < maxCandidates:
 			rest = append(rest, t)
 		}
-		if len(good) == mostCandidates {
+		if len(good) == maxCandidates {
 			return good
 		}
 	}
 	all := slices.Concat(good, rest, asking)
-	return all[:min(len(all), mostCandidates)]
+	return all[:min(len(all), maxCandidates)]
 }
 
-// options are the targets as place sees them, and what the request asks of each.
-func (x *exchange) options(targets []*catalog.Target, resting []string) ([]place.Target, []cacheWork) {
+// placementTargets are the targets as place sees them, and what the request asks of each.
+func (x *exchange) placementTargets(targets []*catalog.Target, resting []string) ([]place.Target, []promptWork) {
 	now := x.g.now()
-	options, works := make([]place.Target, len(targets)), make([]cacheWork, len(targets))
+	options, works := make([]place.Target, len(targets)), make([]promptWork, len(targets))
 	set := x.g.settings()
-	others := x.othersAt(targets, now)
+	others := x.peerLoadsAt(targets, now)
 	x.g.predictorMu.Lock()
 	defer x.g.predictorMu.Unlock()
 	for i, t := range targets {
-		load := x.g.upstream.work.Of(t.ID)
-		o := place.Target{ID: t.Name, Zone: t.Zone, Runs: int(load.Runs.Load()), Excluded: x.tried(t), Resting: slices.Contains(resting, t.ID), Dark: x.dark[t.Zone], AsksRest: x.asksRest(t)}
-		o.Closed, o.Pull = x.closed(t, now)
+		load := x.g.upstream.inflight.Of(t.ID)
+		o := place.Target{ID: t.Name, Zone: t.Zone, Runs: int(load.Runs.Load()), Excluded: x.isExcluded(t), Resting: slices.Contains(resting, t.ID), Dark: x.unreachableZones[t.Zone], AsksRest: x.inBackoff(t)}
+		o.Closed, o.Pull = x.warmupBlocked(t, now)
 		if p := x.call.Prompt; p != nil {
 			version := t.VersionOf(p.Model)
 			o.Unfit = version == 0
-			o.BehindFor = x.view.Named[p.Model].behindFor(version, now)
-			works[i] = x.workAt(t, version, now)
+			o.BehindFor = x.view.NamedVersions[p.Model].outdatedFor(version, now)
+			works[i] = x.promptWorkAt(t, version, now)
 			o.Capacity = x.view.Config.MemoryOf(t.Service)
 			o.InMemory = int(load.Memory.Load()) + others[i].Memory
 		}
@@ -159,8 +159,8 @@
 	return options, works
 }
 
-// othersAt is what the other instances have under way at the targets.
-func (x *exchange) othersAt(targets []*catalog.Target, now time.Time) []loads.Amount {
+// peerLoadsAt is what the other instances have under way at the targets.
+func (x *exchange) peerLoadsAt(targets []*catalog.Target, now time.Time) []loads.Amount {
 	if !x.g.settings().Policy.PeerLoads {
 		return make([]loads.Amount, len(targets))
 	}
@@ -168,28 +168,28 @@
 	for i, t := range targets {
 		keys[i] = loads.KeyOf(t.ID)
 	}
-	return x.g.others.At(keys, now)
+	return x.g.peerLoads.At(keys, now)
 }
 
 // What an own run at a target is assumed to delay another by.
 const (
-	engineCrowdMS = 2.0 // one more in the batch slows each step a little
-	// plainCrowd is the same at a plain service, as a share of the route's
+	engineConcurrencyPenaltyMS = 2.0 // one more in the batch slows each step a little
+	// plainConcurrencyPenalty is the same at a plain service, as a share of the route's
 	// objective: a few places serve all.
-	plainCrowd = 0.05
+	plainConcurrencyPenalty = 0.05
 )
 
-func (x *exchange) crowdMS() float64 {
+func (x *exchange) concurrencyPenaltyMS() float64 {
 	if x.call.Prompt != nil {
-		return engineCrowdMS
+		return engineConcurrencyPenaltyMS
 	}
-	return plainCrowd * float64(x.route.Objective) / float64(time.Millisecond)
+	return plainConcurrencyPenalty * float64(x.route.Objective) / float64(time.Millisecond)
 }
 
-// comeBackFull is when to come back to targets whose memory was full, from half of it to one
+// retryAfterMemoryFull is when to come back to targets whose memory was full, from half of it to one
 // and a half times as long, so that callers do not return together: a target's memory turns
 // over in one to four seconds.
-const comeBackFull = time.Second
+const retryAfterMemoryFull = time.Second
 
 // refuseNoTarget ends a request for which no target may be used.
 func (x *exchange) refuseNoTarget(d place.Decision) {
@@ -197,38 +197,38 @@
 	x.decision = d
 	switch {
 	case v.Execution != problem.NotRun:
-		x.failAfter(v, ending{})
-	case x.view.evacuatedAll(x.service):
+		x.fail(v, attemptResult{})
+	case x.view.allEvacuated(x.service):
 		metric.EvacuatedRefusals.Inc()
-		x.refuse(later(problem.NoTarget, "all zones with targets of the service are evacuated", comeBackEvacuated/2+rand.N(comeBackEvacuated)))
+		x.refuse(retryLater(problem.NoTarget, "all zones with targets of the service are evacuated", retryAfterEvacuation/2+rand.N(retryAfterEvacuation)))
 	case d.AskRest > 0:
-		x.refuseResting()
+		x.refuseInBackoff()
 	case d.Closed > 0:
 		metric.ColdRefusals.Inc()
-		x.refuse(later(problem.Overloaded, "the targets are cold and bear no more now", comeBackCold/2+rand.N(comeBackCold)))
+		x.refuse(retryLater(problem.Overloaded, "the targets are cold and bear no more now", retryAfterWarmup/2+rand.N(retryAfterWarmup)))
 	default:
-		x.failAfter(v, ending{})
+		x.fail(v, attemptResult{})
 	}
 }
 
-// longestComeBack bounds the advice on when to come back to targets that turned the request away or
+// maxRetryAfter bounds the advice on when to come back to targets that turned the request away or
 // ask for rest: they told this instance, and the caller may meet another next time.
-const longestComeBack = time.Second
+const maxRetryAfter = time.Second
 
-// refuseResting refuses a request, of which nothing has run, since all targets that could take
+// refuseInBackoff refuses a request, of which nothing has run, since all targets that could take
 // it ask for rest. Its caller is told to come back when the first rest ends, or up to half as
 // late again, so that callers do not return together, and none returns in vain.
-func (x *exchange) refuseResting() {
+func (x *exchange) refuseInBackoff() {
 	metric.RestRefusals.Inc()
-	wait := min(max(x.restLeft(), comeBackSoon), longestComeBack)
-	x.refuse(later(problem.Overloaded, "the targets have asked for rest", wait+rand.N(wait/2)))
+	wait := min(max(x.backoffLeft(), retryAfterShort), maxRetryAfter)
+	x.refuse(retryLater(problem.Overloaded, "the targets have asked for rest", wait+rand.N(wait/2)))
 }
 
-// restLeft is the time until the first of the service's targets that ask for rest ends it.
-func (x *exchange) restLeft() time.Duration {
+// backoffLeft is the time until the first of the service's targets that ask for rest ends it.
+func (x *exchange) backoffLeft() time.Duration {
 	left, now := time.Duration(0), x.g.now()
 	for _, t := range x.view.Serving[x.service] {
-		until, asks := x.restEnds[t.ID]
+		until, asks := x.backoffUntil[t.ID]
 		if d := until.Sub(now); asks && (left == 0 || d < left) {
 			left = d
 		}
@@ -236,19 +236,19 @@
 	return left
 }
 
-// comeBackCold is when to come back once cold targets bear no more, from half of it to one
+// retryAfterWarmup is when to come back once cold targets bear no more, from half of it to one
 // and a half times as long: targets are cold for some seconds.
-const comeBackCold = time.Second
+const retryAfterWarmup = time.Second
 
-// comeBackEvacuated is when to come back once operators have evacuated all targets, from
+// retryAfterEvacuation is when to come back once operators have evacuated all targets, from
 // half of it to one and a half times as long: they take seconds to take a zone back.
-const comeBackEvacuated = 2 * time.Second
+const retryAfterEvacuation = 2 * time.Second
 
-// refuseFull refuses a request, of which nothing has run, since every target that could
+// refuseMemoryFull refuses a request, of which nothing has run, since every target that could
 // take it is full.
-func (x *exchange) refuseFull(d place.Decision) {
+func (x *exchange) refuseMemoryFull(d place.Decision) {
 	x.machine.NoTarget()
 	x.decision = d
 	metric.FullRefusals.Inc()
-	x.refuse(later(problem.Overloaded, "the targets' memory is full", comeBackFull/2+rand.N(comeBackFull)))
+	x.refuse(retryLater(problem.Overloaded, "the targets' memory is full", retryAfterMemoryFull/2+rand.N(retryAfterMemoryFull)))
 }
--- a/internal/gateway/config_sync_test.go
+++ b/internal/gateway/config_sync_test.go
@@ -14,7 +14,7 @@
 // does not keep its place.
 func TestTakers(t *testing.T) {
 	is := is.New(t)
-	var own takers
+	var own configReceivers
 	for _, name := range []string{"a", "b", "c", "d"} {
 		is.True(own.admit(name, false, at0))
 	}
@@ -30,17 +30,17 @@
 // version never are.
 func TestConfigPart(t *testing.T) {
 	is := is.New(t)
-	var part configPart
-	five, six := ConfigWord{Version: 5, Bytes: 4}, ConfigWord{Version: 6, Bytes: 3}
-	is.True(part.add(ConfigPiece{Word: five, Piece: []byte("ab")}))
-	is.True(part.add(ConfigPiece{Word: six, Piece: []byte("xy")}))
+	var part partialConfig
+	five, six := ConfigRef{Version: 5, Bytes: 4}, ConfigRef{Version: 6, Bytes: 3}
+	is.True(part.add(ConfigReply{Ref: five, Chunk: []byte("ab")}))
+	is.True(part.add(ConfigReply{Ref: six, Chunk: []byte("xy")}))
 	is.Equal(string(part.raw), "xy")
-	is.True(part.add(ConfigPiece{Word: six, Piece: []byte("z")}))
+	is.True(part.add(ConfigReply{Ref: six, Chunk: []byte("z")}))
 	is.Equal(string(part.raw), "xyz")
-	is.True(!part.add(ConfigPiece{Word: six, Piece: []byte("z")}))               // longer than it is
-	is.True(!part.add(ConfigPiece{Word: ConfigWord{Version: 6, Bytes: 2}}))      // another one under its version
-	is.True(!(&configPart{}).add(ConfigPiece{}))                                 // a peer that has none
-	is.True((&configPart{}).add(ConfigPiece{Word: five, Piece: []byte("abcd")})) // all at once
+	is.True(!part.add(ConfigReply{Ref: six, Chunk: []byte("z")}))                  // longer than it is
+	is.True(!part.add(ConfigReply{Ref: ConfigRef{Version: 6, Bytes: 2}}))          // another one under its version
+	is.True(!(&partialConfig{}).add(ConfigReply{}))                                // a peer that has none
+	is.True((&partialConfig{}).add(ConfigReply{Ref: five, Chunk: []byte("abcd")})) // all at once
 }
 
 // TestWord: the word of a long configuration goes on before the document is here; that of a
@@ -49,24 +49,24 @@
 	is := is.New(t)
 	c := controlOf("e-1", "z0")
 	c.now = func() time.Time { return at0 }
-	c.cfg, c.raw = catalog.NewConfig(catalog.Draft{Version: 3}), make([]byte, 100)
+	c.cfg, c.rawConfig = catalog.NewConfig(catalog.Draft{Version: 3}), make([]byte, 100)
 	teller, holder := member.Member{Name: "e-2"}, member.Member{Name: "e-3"}
 
-	short := ConfigWord{Version: 5, Bytes: longConfig}
-	c.hearConfig(Have{Config: 5, Newest: short}, holder)
-	is.Equal(c.have().Newest, c.configInForce())
-	is.True(c.known().lacks(Have{Config: 5, Newest: short}))
+	short := ConfigRef{Version: 5, Bytes: maxInlineConfig}
+	c.receiveConfigRef(StateVersions{Config: 5, NewestConfig: short}, holder)
+	is.Equal(c.stateVersions().NewestConfig, c.configInForce())
+	is.True(c.knownVersions().isBehind(StateVersions{Config: 5, NewestConfig: short}))
 
-	long := ConfigWord{Version: 7, Bytes: longConfig + 1}
-	c.hearConfig(Have{Config: 3, Newest: long}, teller)
-	is.Equal(c.have().Newest, long)
-	is.Equal(c.have().Config, uint64(3))
-	is.Equal(len(c.heard.holders), 0) // the teller only heard of it as well
-	is.True(!c.known().lacks(Have{Config: 7, Newest: long}))
-	c.hearConfig(Have{Config: 7, Newest: long}, holder)
-	is.Equal(c.heard.holders, []member.Member{holder})
+	long := ConfigRef{Version: 7, Bytes: maxInlineConfig + 1}
+	c.receiveConfigRef(StateVersions{Config: 3, NewestConfig: long}, teller)
+	is.Equal(c.stateVersions().NewestConfig, long)
+	is.Equal(c.stateVersions().Config, uint64(3))
+	is.Equal(len(c.reportedConfig.holders), 0) // the teller only heard of it as well
+	is.True(!c.knownVersions().isBehind(StateVersions{Config: 7, NewestConfig: long}))
+	c.receiveConfigRef(StateVersions{Config: 7, NewestConfig: long}, holder)
+	is.Equal(c.reportedConfig.holders, []member.Member{holder})
 
-	configRead{cfg: catalog.NewConfig(catalog.Draft{Version: 7}), raw: make([]byte, longConfig+1), from: fromStore}.apply(c)
-	is.Equal(c.have().Newest, long)
-	is.True(c.newsFor(Known{Config: 3}, true) == nil) // not even for one that has no store
+	configReceived{cfg: catalog.NewConfig(catalog.Draft{Version: 7}), raw: make([]byte, maxInlineConfig+1), from: fromStore}.apply(c)
+	is.Equal(c.stateVersions().NewestConfig, long)
+	is.True(c.updateFor(KnownVersions{Config: 3}, true) == nil) // not even for one that has no store
 }
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -14,54 +14,54 @@
 	"github.com/shedhoist/shedhoist/internal/registry"
 )
 
-// control is the mutable state of what this instance believes. Only the control
+// controlState is the mutable state of what this instance believes. Only the control
 // goroutine touches it; all others send events and read the published view.
-type control struct {
+type controlState struct {
 	log log.Interface
 	now func() time.Time
 
-	cfg     *catalog.Config
-	raw     []byte // cfg as stored, for peers
-	heard   heardConfig
-	targets *registry.Table
-	named   map[string]Named
-	namedAt platform.Version // revision up to which named is complete
-	namedIn platform.Version // revision of the last change of named
+	cfg            *catalog.Config
+	rawConfig      []byte // cfg as stored, for peers
+	reportedConfig reportedConfig
+	targets        *registry.Table
+	named          map[string]NamedVersions
+	namedRevision  platform.Version // revision up to which named is complete
+	namedChanged   platform.Version // revision of the last change of named
 	// versionsListed is set once the named versions were heard of at all.
-	versionsListed bool
-	rolloutWithin  time.Duration // time that a rollout may take
-	configWithin   time.Duration // time in which a configuration must be in force
-	evacuated      evacuation.Zones
-	released       map[string]time.Time // when zones were taken back; replaced, never changed
-	settledAt      time.Time            // see coldSettle
-	ticked         time.Time            // at the last tick
+	versionsListed  bool
+	rolloutWithin   time.Duration // time that a rollout may take
+	configWithin    time.Duration // time in which a configuration must be in force
+	evacuated       evacuation.Zones
+	releasedAt      map[string]time.Time // when zones were taken back; replaced, never changed
+	warmupAllowedAt time.Time            // see warmupSettleTime
+	lastTick        time.Time            // at the last tick
 	// followsEvacuations says that operators evacuate zones: requests wait until it is known
 	// which.
 	followsEvacuations bool
 
-	rollout  RolloutNews // the newest heard of, or this instance's own
-	ownNews  bool        // it is this instance's own
-	heardOf  time.Time   // when it was heard
-	members  *member.Machine
-	missing  time.Time // since when all peers heard of know more live members; zero: they don't
-	draining bool
-	storeOK  bool
-	fresh    *fresh.Book
-	cutOff   cutOff
-	// firstHand is until when what changes here may be news to all: this instance, in doubt,
+	rollout             RolloutUpdate // the newest heard of, or this instance's own
+	rolloutIsOwn        bool          // it is this instance's own
+	rolloutReceivedAt   time.Time     // when it was heard
+	members             *member.Machine
+	membersMissingSince time.Time // since when all peers heard of know more live members; zero: they don't
+	draining            bool
+	storeReachable      bool
+	staleness           *fresh.Book
+	isolation           isolation
+	// firstSourceUntil is until when what changes here may be news to all: this instance, in doubt,
 	// asked the object store itself.
-	firstHand time.Time
-	// leaving is what targets said of leaving, see leaving.go.
-	leaving leavingWords
+	firstSourceUntil time.Time
+	// leavingReports is what targets said of leaving, see leaving.go.
+	leavingReports leavingReports
 
 	// Parts of views, kept until what they are made from changes.
-	fleet   fleetPart
-	serving servingPart
-	news    pendingNews
+	fleet          fleetSnapshot
+	serving        servingSnapshot
+	pendingUpdates pendingUpdates
 }
 
 // event is one change of control state. Apply runs on the control goroutine.
-type event interface{ apply(*control) }
+type event interface{ apply(*controlState) }
 
 // source says who a belief comes from, for logs.
 type source string
@@ -75,14 +75,14 @@
 	fromOrder  source = "order"  // to a target
 )
 
-// configRead brings a configuration. A version never goes back.
-type configRead struct {
+// configReceived brings a configuration. A version never goes back.
+type configReceived struct {
 	cfg  *catalog.Config
 	raw  []byte
 	from source
 }
 
-func (e configRead) apply(c *control) {
+func (e configReceived) apply(c *controlState) {
 	if c.cfg != nil && e.cfg.Version <= c.cfg.Version {
 		return
 	}
@@ -90,10 +90,10 @@
 	if c.cfg != nil {
 		old = c.cfg.Version
 	}
-	c.cfg, c.raw = e.cfg, e.raw
+	c.cfg, c.rawConfig = e.cfg, e.raw
 	entry := c.log.WithField("version", e.cfg.Version).WithField("before", old).WithField("from", string(e.from)).WithField("bytes", len(e.raw))
-	if c.heard.Version > old {
-		entry = entry.WithField("since_heard_ms", c.now().Sub(c.heard.since).Milliseconds())
+	if c.reportedConfig.Version > old {
+		entry = entry.WithField("since_heard_ms", c.now().Sub(c.reportedConfig.since).Milliseconds())
 	}
 	entry.Info("configuration in force")
 }
@@ -106,7 +106,7 @@
 	from     source
 }
 
-func (e targetsListed) apply(c *control) {
+func (e targetsListed) apply(c *controlState) {
 	c.log.WithField("revision", uint64(e.revision)).WithField("targets", len(e.targets)).WithField("from", string(e.from)).Info("targets listed")
 	c.targets.List(e.revision, e.targets, e.vanished, c.now())
 }
@@ -118,50 +118,52 @@
 	gone     []string // names
 }
 
-func (e targetsChanged) apply(c *control) { c.targets.Change(e.revision, e.present, e.gone, c.now()) }
+func (e targetsChanged) apply(c *controlState) {
+	c.targets.Change(e.revision, e.present, e.gone, c.now())
+}
 
-// unknownAge is how long ago a version is taken to have been named that this
+// assumedVersionAge is how long ago a version is taken to have been named that this
 // process finds at its start: it may have missed most of the rollout's time. What
 // is left is enough for the first targets to load.
-func (c *control) unknownAge() time.Duration {
-	return max(c.rolloutWithin-freshGrace, 0)
+func (c *controlState) assumedVersionAge() time.Duration {
+	return max(c.rolloutWithin-startupVersionGrace, 0)
 }
 
-// freshGrace is the time for which a new process still uses older weights than
+// startupVersionGrace is the time for which a new process still uses older weights than
 // it found named, if no peer knows better.
-const freshGrace = 3 * time.Second
+const startupVersionGrace = 3 * time.Second
 
-// namedAges brings a peer's word of how long ago versions were named.
-type namedAges struct{ ages []NamedAge }
+// versionAgesReceived brings a peer's word of how long ago versions were named.
+type versionAgesReceived struct{ ages []VersionAge }
 
-func (e namedAges) apply(c *control) {
+func (e versionAgesReceived) apply(c *controlState) {
 	for _, a := range e.ages {
-		c.named[a.Model] = c.named[a.Model].agedBy(a.Version, time.Duration(a.MS)*time.Millisecond, c.now())
+		c.named[a.Model] = c.named[a.Model].withAge(a.Version, time.Duration(a.AgeMS)*time.Millisecond, c.now())
 	}
 }
 
-// ages tells a peer how long ago versions were named, as far as that is no guess.
-func (c *control) ages() []NamedAge {
-	var out []NamedAge
+// versionAges tells a peer how long ago versions were named, as far as that is no guess.
+func (c *controlState) versionAges() []VersionAge {
+	var out []VersionAge
 	for model, n := range c.named {
 		for _, h := range n.history {
 			if h.assumed {
 				continue
 			}
-			out = append(out, NamedAge{Model: model, Version: h.version, MS: c.now().Sub(h.since).Milliseconds()})
+			out = append(out, VersionAge{Model: model, Version: h.version, AgeMS: c.now().Sub(h.learnedAt).Milliseconds()})
 		}
 	}
 	return out
 }
 
-// targetServes brings news of the weights that a target serves, from its own
+// targetWeightsObserved brings news of the weights that a target serves, from its own
 // answer to us.
-type targetServes struct {
-	id string // of the target's life
-	at catalog.ModelVersion
+type targetWeightsObserved struct {
+	id     string // of the target's life
+	serves catalog.ModelVersion
 }
 
-func (e targetServes) apply(c *control) { c.targets.Serves(e.id, e.at) }
+func (e targetWeightsObserved) apply(c *controlState) { c.targets.Serves(e.id, e.serves) }
 
 // versionsNamed brings named weight versions. A version never goes back.
 type versionsNamed struct {
@@ -171,36 +173,36 @@
 	from     source
 }
 
-func (e versionsNamed) apply(c *control) {
-	c.namedAt, c.namedIn = max(c.namedAt, e.revision), max(c.namedIn, e.changed)
+func (e versionsNamed) apply(c *controlState) {
+	c.namedRevision, c.namedChanged = max(c.namedRevision, e.revision), max(c.namedChanged, e.changed)
 	for _, v := range e.versions {
-		if v.Version <= c.named[v.Model].Version {
+		if v.Version <= c.named[v.Model].Newest {
 			continue
 		}
-		c.log.WithField("model", v.Model).WithField("version", v.Version).WithField("before", c.named[v.Model].Version).
+		c.log.WithField("model", v.Model).WithField("version", v.Version).WithField("before", c.named[v.Model].Newest).
 			WithField("from", string(e.from)).Info("weight version named")
-		one := namedOne{version: v.Version, since: c.now()}
+		one := namedVersion{version: v.Version, learnedAt: c.now()}
 		if !c.versionsListed {
-			one.since, one.assumed = one.since.Add(-c.unknownAge()), true
+			one.learnedAt, one.assumed = one.learnedAt.Add(-c.assumedVersionAge()), true
 		}
-		c.named[v.Model] = c.named[v.Model].with(one)
+		c.named[v.Model] = c.named[v.Model].withVersion(one)
 	}
 	c.versionsListed = true
 }
 
-// storeReached says whether the object store answered.
-type storeReached struct {
-	ok    bool
-	cause error
+// storeContactChanged says whether the object store answered.
+type storeContactChanged struct {
+	reachable bool
+	cause     error
 }
 
-func (e storeReached) apply(c *control) {
-	if e.ok == c.storeOK {
+func (e storeContactChanged) apply(c *controlState) {
+	if e.reachable == c.storeReachable {
 		return
 	}
-	c.storeOK = e.ok
-	c.members.SetDetached(!e.ok)
-	if e.ok {
+	c.storeReachable = e.reachable
+	c.members.SetDetached(!e.reachable)
+	if e.reachable {
 		c.targets.ContactRegained(c.now())
 		c.log.Info("object store reached")
 		return
@@ -208,40 +210,40 @@
 	c.log.WithError(e.cause).Warn("object store lost")
 }
 
-// closingFor is how long targets stay closed by one word of the instance that
+// cordonTTL is how long targets stay closed by one word of the instance that
 // gives orders; it repeats itself more often, for as long as it lives.
-const closingFor = 4 * time.Second
+const cordonTTL = 4 * time.Second
 
-// rolloutHeard brings the news of a rollout.
-type rolloutHeard struct {
-	news RolloutNews
-	own  bool
+// rolloutReceived brings the news of a rollout.
+type rolloutReceived struct {
+	update RolloutUpdate
+	own    bool
 }
 
-func (e rolloutHeard) apply(c *control) {
-	if !e.news.Stamp.after(c.rollout.Stamp) {
+func (e rolloutReceived) apply(c *controlState) {
+	if !e.update.Stamp.newerThan(c.rollout.Stamp) {
 		return
 	}
-	c.rollout, c.ownNews, c.heardOf = e.news, e.own, c.now()
-	for _, a := range e.news.Arrived {
+	c.rollout, c.rolloutIsOwn, c.rolloutReceivedAt = e.update, e.own, c.now()
+	for _, a := range e.update.Loaded {
 		c.targets.Serves(a.Target, a.Serves)
 	}
 }
 
-// stopping takes this instance out of service.
-type stopping struct{}
+// shutdownBegun takes this instance out of service.
+type shutdownBegun struct{}
 
-func (stopping) apply(c *control) { c.draining = true }
+func (shutdownBegun) apply(c *controlState) { c.draining = true }
 
 // Pace of the control goroutine.
 const (
-	controlTick  = 50 * time.Millisecond // probes of peers, and lapses of held entries
-	eventBacklog = 1024                  // events that may wait
+	controlTick    = 50 * time.Millisecond // probes of peers, and lapses of held entries
+	eventQueueSize = 1024                  // events that may wait
 )
 
 // runControl is the control goroutine. A view is published once for all events
 // that wait.
-func (g *Gateway) runControl(ctx context.Context, c *control) {
+func (g *Gateway) runControl(ctx context.Context, c *controlState) {
 	defer close(g.controlDone)
 	tick := time.NewTicker(controlTick)
 	defer tick.Stop()
@@ -250,71 +252,71 @@
 		case <-ctx.Done():
 			return
 		case e := <-g.events:
-			old := c.newsMark()
+			old := c.updateMark()
 			e.apply(c)
 			for range len(g.events) {
 				(<-g.events).apply(c)
 			}
-			c.noteFresh()
-			v := c.view()
+			c.noteStaleness()
+			v := c.buildView()
 			g.view.Store(v)
-			if v.informed() {
-				g.informedOnce.Do(func() { close(g.informed) })
+			if v.initialized() {
+				g.initializedOnce.Do(func() { close(g.initialized) })
 			}
-			if c.heard.Version != old.heard {
+			if c.reportedConfig.Version != old.reportedConfig {
 				g.configDue.Raise()
 			}
-			c.noteNews(v, old)
-			g.spreadNews(c, v)
+			c.noteUpdates(v, old)
+			g.spreadUpdates(c, v)
 		case <-tick.C:
-			stood := c.noteTick()
+			stood := c.detectPause()
 			g.probePeers(c)
 			expired := c.targets.Expire(c.now())
-			if c.cutOff.update(c.isCutOff(g.peerAge()), c.log) || expired || stood || c.fleetChanged() || c.reopened() {
-				g.view.Store(c.view())
+			if c.isolation.update(c.isIsolated(g.sincePeerContact()), c.log) || expired || stood || c.fleetChanged() || c.uncordoned() {
+				g.view.Store(c.buildView())
 			}
-			g.spreadNews(c, g.view.Load())
+			g.spreadUpdates(c, g.view.Load())
 		}
 	}
 }
 
-// noteTick notes a tick, and says whether the instance stood still since the last one.
-func (c *control) noteTick() bool {
+// detectPause notes a tick, and says whether the instance stood still since the last one.
+func (c *controlState) detectPause() bool {
 	now := c.now()
-	still := now.Sub(c.ticked)
-	stood := !c.ticked.IsZero() && still > stoodStill
-	c.ticked = now
+	still := now.Sub(c.lastTick)
+	stood := !c.lastTick.IsZero() && still > pauseThreshold
+	c.lastTick = now
 	if stood {
-		c.settledAt = now.Add(coldSettle)
+		c.warmupAllowedAt = now.Add(warmupSettleTime)
 		c.log.WithField("ms", still.Milliseconds()).Warn("this instance stood still")
 	}
 	return stood
 }
 
-// send hands an event to the control goroutine; it gives up when the process ends.
-func (g *Gateway) send(e event) {
+// sendEvent hands an event to the control goroutine; it gives up when the process ends.
+func (g *Gateway) sendEvent(e event) {
 	select {
 	case g.events <- e:
 	case <-g.controlDone:
 	}
 }
 
-// ask runs a function on the control goroutine.
-type ask struct {
-	f    func(*control)
+// stateQuery runs a function on the control goroutine.
+type stateQuery struct {
+	run  func(*controlState)
 	done chan struct{}
 }
 
-func (e ask) apply(c *control) {
-	e.f(c)
+func (e stateQuery) apply(c *controlState) {
+	e.run(c)
 	close(e.done)
 }
 
-// query runs f on the control goroutine and returns when f has run, or when
+// queryControl runs f on the control goroutine and returns when f has run, or when
 // that goroutine has ended and f never will.
-func (g *Gateway) query(f func(*control)) {
-	a := ask{f: f, done: make(chan struct{})}
-	g.send(a)
+func (g *Gateway) queryControl(f func(*controlState)) {
+	a := stateQuery{run: f, done: make(chan struct{})}
+	g.sendEvent(a)
 	select {
 	case <-a.done:
 	case <-g.controlDone:
--- a/internal/gateway/control_test.go
+++ b/internal/gateway/control_test.go
@@ -21,21 +21,21 @@
 // TestNamed: how long a version has been behind counts from the first newer one.
 func TestNamed(t *testing.T) {
 	is := is.New(t)
-	var n Named
-	n = n.with(namedOne{version: 2, since: at0}).with(namedOne{version: 3, since: at0.Add(4 * time.Second)})
+	var n NamedVersions
+	n = n.withVersion(namedVersion{version: 2, learnedAt: at0}).withVersion(namedVersion{version: 3, learnedAt: at0.Add(4 * time.Second)})
 	now := at0.Add(5 * time.Second)
-	is.Equal(n.behindFor(1, now), 5*time.Second)
-	is.Equal(n.behindFor(2, now), time.Second)
-	is.Equal(n.behindFor(3, now), time.Duration(0))
+	is.Equal(n.outdatedFor(1, now), 5*time.Second)
+	is.Equal(n.outdatedFor(2, now), time.Second)
+	is.Equal(n.outdatedFor(3, now), time.Duration(0))
 }
 
 // TestConfigNeverBack: an older version of the configuration changes nothing.
 func TestConfigNeverBack(t *testing.T) {
 	is := is.New(t)
-	c := &control{log: &log.Logger{Handler: discard.Default}, now: func() time.Time { return at0 }}
+	c := &controlState{log: &log.Logger{Handler: discard.Default}, now: func() time.Time { return at0 }}
 	newer, older := catalog.NewConfig(catalog.Draft{Version: 7}), catalog.NewConfig(catalog.Draft{Version: 5})
-	configRead{cfg: newer, from: fromPeer}.apply(c)
-	configRead{cfg: older, from: fromStore}.apply(c)
+	configReceived{cfg: newer, from: fromPeer}.apply(c)
+	configReceived{cfg: older, from: fromStore}.apply(c)
 	is.Equal(c.cfg.Version, uint64(7))
 }
 
@@ -54,14 +54,14 @@
 // long as others may hold on to it.
 func TestDeparted(t *testing.T) {
 	is := is.New(t)
-	tt := newTargets(&log.Logger{Handler: discard.Default}, "e")
+	tt := newTargetTable(&log.Logger{Handler: discard.Default}, "e")
 	newer := entry("b", 2)
 	newer.Models = []catalog.ModelVersion{{Model: "m", Version: 2}}
 	tt.List(5, []catalog.Target{entry("a", 1), newer}, nil, at0)
 	tt.Change(6, nil, []string{"a"}, at0)
 	v := &View{Targets: map[string]*catalog.Target{"b": &newer}, Departed: tt.Departed()}
-	is.Equal(oldestServed(v, at0.Add(lingerTime-time.Millisecond))["m"], uint64(1))
-	is.Equal(oldestServed(v, at0.Add(lingerTime))["m"], uint64(2))
+	is.Equal(oldestServed(v, at0.Add(departedTTL-time.Millisecond))["m"], uint64(1))
+	is.Equal(oldestServed(v, at0.Add(departedTTL))["m"], uint64(2))
 }
 
 // TestNewProcess: a process that starts late in a rollout does not take the
@@ -69,16 +69,16 @@
 func TestNewProcess(t *testing.T) {
 	is := is.New(t)
 	now := at0
-	c := &control{log: &log.Logger{Handler: discard.Default}, now: func() time.Time { return now }, named: map[string]Named{}, rolloutWithin: 10 * time.Second}
+	c := &controlState{log: &log.Logger{Handler: discard.Default}, now: func() time.Time { return now }, named: map[string]NamedVersions{}, rolloutWithin: 10 * time.Second}
 	two := []catalog.ModelVersion{{Model: "m", Version: 2}}
 	versionsNamed{revision: 5, changed: 5, versions: two, from: fromStore}.apply(c)
-	is.Equal(c.named["m"].behindFor(1, now), 10*time.Second-freshGrace)
-	is.Equal(len(c.ages()), 0) // a guess is told to nobody
-	namedAges{[]NamedAge{{Model: "m", Version: 2, MS: 2000}, {Model: "other", Version: 1, MS: 1}}}.apply(c)
-	is.Equal(c.named["m"].behindFor(1, now), 2*time.Second) // less than guessed
-	namedAges{[]NamedAge{{Model: "m", Version: 2, MS: 9000}}}.apply(c)
-	is.Equal(c.named["m"].behindFor(1, now), 2*time.Second) // known already
+	is.Equal(c.named["m"].outdatedFor(1, now), 10*time.Second-startupVersionGrace)
+	is.Equal(len(c.versionAges()), 0) // a guess is told to nobody
+	versionAgesReceived{[]VersionAge{{Model: "m", Version: 2, AgeMS: 2000}, {Model: "other", Version: 1, AgeMS: 1}}}.apply(c)
+	is.Equal(c.named["m"].outdatedFor(1, now), 2*time.Second) // less than guessed
+	versionAgesReceived{[]VersionAge{{Model: "m", Version: 2, AgeMS: 9000}}}.apply(c)
+	is.Equal(c.named["m"].outdatedFor(1, now), 2*time.Second) // known already
 	versionsNamed{revision: 6, changed: 6, versions: []catalog.ModelVersion{{Model: "m", Version: 3}}, from: fromStore}.apply(c)
-	is.Equal(c.named["m"].behindFor(2, now), time.Duration(1)) // just named
-	is.Equal(len(c.ages()), 2)
+	is.Equal(c.named["m"].outdatedFor(2, now), time.Duration(1)) // just named
+	is.Equal(len(c.versionAges()), 2)
 }
--- a/internal/gateway/crash_detector.go
+++ b/internal/gateway/crash_detector.go
@@ -17,68 +17,68 @@
 
 // Bounds of looking.
 const (
-	// crashKept is how long a crash is remembered for requests whose break is noticed late.
+	// crashRetention is how long a crash is remembered for requests whose break is noticed late.
 	// A target that starts again under the same id takes longer.
-	crashKept = time.Second
-	// crashRest keeps requests away from a target that crashed: its entry stands until its
+	crashRetention = time.Second
+	// crashEjectTime keeps requests away from a target that crashed: its entry stands until its
 	// heartbeats are missed, for some seconds.
-	crashRest = 3 * time.Second
-	// crashRequests bounds the requests that are remembered of one crash.
-	crashRequests = 128
+	crashEjectTime = 3 * time.Second
+	// maxCrashRequests bounds the requests that are remembered of one crash.
+	maxCrashRequests = 128
 )
 
-// brokenRequest is a request whose connection to a target broke.
-type brokenRequest struct {
+// interruptedRequest is a request whose connection to a target broke.
+type interruptedRequest struct {
 	id       string
 	key      quarantine.Key
 	customer string
 	route    string
 }
 
-// crashes looks after broken connections, once for each life of a target at a time.
-type crashes struct {
-	g  *Gateway
-	mu sync.Mutex
-	m  map[string]*crashCheck // by the target's life
+// crashDetector looks after broken connections, once for each life of a target at a time.
+type crashDetector struct {
+	g      *Gateway
+	mu     sync.Mutex
+	checks map[string]*crashCheck // by the target's life
 }
 
 type crashCheck struct {
-	crashed bool
-	broken  []brokenRequest // until the outcome is known
+	crashed     bool
+	interrupted []interruptedRequest // until the outcome is known
 }
 
-// broke notes that the connection of a request broke while it was under way.
-func (c *crashes) broke(t *catalog.Target, r brokenRequest) {
+// connBroken notes that the connection of a request broke while it was under way.
+func (c *crashDetector) connBroken(t *catalog.Target, r interruptedRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	check := c.m[t.ID]
+	check := c.checks[t.ID]
 	switch {
 	case check == nil:
 		check = &crashCheck{}
-		c.m[t.ID] = check
-		c.g.start(func() { c.look(t, check) })
+		c.checks[t.ID] = check
+		c.g.spawn(func() { c.probe(t, check) })
 	case check.crashed:
-		c.g.start(func() { c.g.crashed(t, []brokenRequest{r}) })
+		c.g.spawn(func() { c.g.handleCrash(t, []interruptedRequest{r}) })
 		return
 	}
-	if len(check.broken) < crashRequests {
-		check.broken = append(check.broken, r)
+	if len(check.interrupted) < maxCrashRequests {
+		check.interrupted = append(check.interrupted, r)
 	}
 }
 
-// look connects to the target: a process that is gone is known by its host's refusal.
-func (c *crashes) look(t *catalog.Target, check *crashCheck) {
+// probe connects to the target: a process that is gone is known by its host's refusal.
+func (c *crashDetector) probe(t *catalog.Target, check *crashCheck) {
 	asked := c.g.now()
 	err := c.connect(t.Address)
 	refused := errors.Is(err, syscall.ECONNREFUSED)
 	c.mu.Lock()
-	broken := check.broken
-	check.crashed, check.broken = refused, nil
+	broken := check.interrupted
+	check.crashed, check.interrupted = refused, nil
 	if refused {
-		c.g.ejected.Rest(t.ID, crashRest)
-		time.AfterFunc(crashKept, func() { c.forget(t.ID) })
+		c.g.breaker.Rest(t.ID, crashEjectTime)
+		time.AfterFunc(crashRetention, func() { c.forget(t.ID) })
 	} else {
-		delete(c.m, t.ID)
+		delete(c.checks, t.ID)
 	}
 	c.mu.Unlock()
 	entry := c.g.log.WithField("target", t.ID).WithField("address", t.Address).WithField("requests", len(broken)).
@@ -87,7 +87,7 @@
 	case refused:
 		metric.TargetCrashes.Inc()
 		entry.Info("target crashed")
-		c.g.crashed(t, broken)
+		c.g.handleCrash(t, broken)
 	case err != nil:
 		entry.WithError(err).Info("connections to a target broke, whether it crashed is not known")
 	default:
@@ -95,14 +95,14 @@
 	}
 }
 
-func (c *crashes) forget(id string) {
+func (c *crashDetector) forget(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.m, id)
+	delete(c.checks, id)
 }
 
-func (c *crashes) connect(address string) error {
-	ctx, cancel := context.WithTimeout(c.g.ctx, targetConnect)
+func (c *crashDetector) connect(address string) error {
+	ctx, cancel := context.WithTimeout(c.g.ctx, targetConnectTimeout)
 	defer cancel()
 	conn, err := c.g.upstream.dial(ctx, "tcp", address)
 	if err != nil {
--- a/internal/gateway/crash_detector_test.go
+++ b/internal/gateway/crash_detector_test.go
@@ -22,7 +22,7 @@
 				defer f.stop()
 				var under sync.WaitGroup
 				for range runs * targets {
-					under.Go(func() { f.ask(0, pathOnce, slowBody) })
+					under.Go(func() { f.request(0, pathOnce, slowBody) })
 					time.Sleep(time.Millisecond)
 				}
 				time.Sleep(slowTime / 2)
@@ -33,7 +33,7 @@
 				time.Sleep(100 * time.Millisecond) // they are found
 				served := 0
 				for range requests {
-					if f.ask(0, pathOnce, "x").status == http.StatusOK {
+					if f.request(0, pathOnce, "x").status == http.StatusOK {
 						served++
 					}
 				}
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -19,55 +19,55 @@
 
 // Pace of going through the tree.
 const (
-	// pullGap is the pause between two looks at another's directory.
-	pullGap = 150 * time.Millisecond
+	// pullInterval is the pause between two looks at another's directory.
+	pullInterval = 150 * time.Millisecond
 	// pullTimeout bounds one look.
 	pullTimeout = 500 * time.Millisecond
-	// moreGap is the pause before the next look if something was left out of the last one.
-	moreGap = pullGap / 4
-	// wholeParts is how many parts one answer lists of stores that the asker does not know,
-	// unless a single store holds more: some 20 kB, so that the treeFan instances that ask
+	// pullMoreInterval is the pause before the next look if something was left out of the last one.
+	pullMoreInterval = pullInterval / 4
+	// maxListedParts is how many parts one answer lists of stores that the asker does not know,
+	// unless a single store holds more: some 20 kB, so that the treeFanout instances that ask
 	// at once are all answered within half of pullTimeout over 10 Mbit/s. Without a bound,
 	// after a start of all 91 instances 192 looks failed, and the last instance knew all
 	// stores 4 s after the start.
-	wholeParts = 1500
-	// relayAge is how much older a store's last word may be for having come by way
+	maxListedParts = 1500
+	// maxRelayAge is how much older a store's last word may be for having come by way
 	// of others: two steps of the tree.
-	relayAge = 800 * time.Millisecond
-	// joinTime is how long a new process waits to learn how large the fleet is
+	maxRelayAge = 800 * time.Millisecond
+	// joinWindow is how long a new process waits to learn how large the fleet is
 	// before it follows stores, or watches the object store, itself.
-	joinTime = time.Second
+	joinWindow = time.Second
 )
 
-// DirectoryAsk asks for what changed in the cache stores.
-type DirectoryAsk struct {
+// DirectoryRequest asks for what changed in the cache stores.
+type DirectoryRequest struct {
 	Process uint64 `cbor:"1,keyasint"` // whose numbers Seq is of
 	Seq     uint64 `cbor:"2,keyasint"` // the last change that the asker has
 	// Stores are the addresses of those of which the asker has all up to Seq.
 	Stores []string `cbor:"3,keyasint,omitempty"`
 }
 
-// Directory is the answer.
-type Directory struct {
-	Process uint64      `cbor:"1,keyasint"`
-	Seq     uint64      `cbor:"2,keyasint"`
-	ClockMS float64     `cbor:"3,keyasint"`           // servers' clock now, 0: not known
-	Stores  []StoreNews `cbor:"4,keyasint"`           // those that answer
-	More    bool        `cbor:"5,keyasint,omitempty"` // some were left out, to be asked for at once
-	// Fresh has the ages of the teller's copies of what the object store holds: those who
+// DirectoryReply is the answer.
+type DirectoryReply struct {
+	Process uint64        `cbor:"1,keyasint"`
+	Seq     uint64        `cbor:"2,keyasint"`
+	ClockMS float64       `cbor:"3,keyasint"`           // servers' clock now, 0: not known
+	Stores  []StoreUpdate `cbor:"4,keyasint"`           // those that answer
+	More    bool          `cbor:"5,keyasint,omitempty"` // some were left out, to be asked for at once
+	// Staleness has the ages of the teller's copies of what the object store holds: those who
 	// ask for the directory are those who go by its news.
-	Fresh []fresh.Word `cbor:"6,keyasint,omitempty"`
+	Staleness []fresh.Word `cbor:"6,keyasint,omitempty"`
 }
 
-// StoreNews is what changed in one store.
-type StoreNews struct {
-	Address string     `cbor:"1,keyasint"`
-	Epoch   uint64     `cbor:"2,keyasint"`
-	AgeMS   int64      `cbor:"3,keyasint"`           // since the store answered
-	Whole   bool       `cbor:"4,keyasint,omitempty"` // Parts is all that it holds
-	Salts   []string   `cbor:"5,keyasint,omitempty"` // each once
-	Parts   []PartNews `cbor:"6,keyasint,omitempty"` // in order
-	// Ages has how long each of Parts has been complete, see ageOf.
+// StoreUpdate is what changed in one store.
+type StoreUpdate struct {
+	Address  string       `cbor:"1,keyasint"`
+	Epoch    uint64       `cbor:"2,keyasint"`
+	AgeMS    int64        `cbor:"3,keyasint"`           // since the store answered
+	Complete bool         `cbor:"4,keyasint,omitempty"` // Parts is all that it holds
+	Salts    []string     `cbor:"5,keyasint,omitempty"` // each once
+	Parts    []PartUpdate `cbor:"6,keyasint,omitempty"` // in order
+	// Ages has how long each of Parts has been complete, see encodeAge.
 	Ages []byte `cbor:"7,keyasint,omitempty"`
 	// BehindMS is how much longer ago than AgeMS the teller's knowledge was whole.
 	BehindMS int64 `cbor:"8,keyasint,omitempty"`
@@ -76,32 +76,32 @@
 // ageStep is the granule of ages, which are rounded down: one byte tells up to 4 s.
 const ageStep = 20 * time.Millisecond
 
-// PartNews is one change.
-type PartNews struct {
+// PartUpdate is one change.
+type PartUpdate struct {
 	_      struct{} `cbor:",toarray"`
 	Salt   int      // index in Salts
 	Part   string
 	Tokens int // -1: no longer held
 }
 
-// gonePart stands for the tokens of a part that is no longer held.
-const gonePart = -1
+// removedPart stands for the tokens of a part that is no longer held.
+const removedPart = -1
 
 // Directory answers another instance's look.
-func (h *peerHandler) Directory(req *DirectoryAsk, out *Directory) error {
-	*out = h.g.cache.tell(*req)
-	out.Fresh = h.g.fresh.Words(h.g.now())
+func (h *peerHandler) Directory(req *DirectoryRequest, out *DirectoryReply) error {
+	*out = h.g.cache.directoryFor(*req)
+	out.Staleness = h.g.staleness.Words(h.g.now())
 	return nil
 }
 
-// tell collects what the asker lacks.
-func (c *cacheDirectory) tell(ask DirectoryAsk) Directory {
+// directoryFor collects what the asker lacks.
+func (c *cacheDirectory) directoryFor(ask DirectoryRequest) DirectoryReply {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.g.now()
-	out := Directory{Process: c.process, Seq: c.journal.Seq()}
-	if !c.clockAt.IsZero() {
-		out.ClockMS = c.clock + float64(now.Sub(c.clockAt))/float64(time.Millisecond)
+	out := DirectoryReply{Process: c.process, Seq: c.journal.Seq()}
+	if !c.serverClockAt.IsZero() {
+		out.ClockMS = c.serverClock + float64(now.Sub(c.serverClockAt))/float64(time.Millisecond)
 	}
 	listed := 0 // parts of stores that are told whole
 	for address, sh := range c.inventories {
@@ -110,11 +110,11 @@
 			continue
 		}
 		events, whole := c.journal.Since(address, ask.Seq)
-		n := StoreNews{Address: address, Epoch: epoch, AgeMS: now.Sub(sh.AsOf()).Milliseconds() + 1, BehindMS: sh.AsOf().Sub(sh.Whole()).Milliseconds(),
-			Whole: whole || ask.Process != c.process || !slices.Contains(ask.Stores, address)}
-		if n.Whole {
+		n := StoreUpdate{Address: address, Epoch: epoch, AgeMS: now.Sub(sh.AsOf()).Milliseconds() + 1, BehindMS: sh.AsOf().Sub(sh.Whole()).Milliseconds(),
+			Complete: whole || ask.Process != c.process || !slices.Contains(ask.Stores, address)}
+		if n.Complete {
 			held := sh.All()
-			if listed > 0 && listed+len(held) > wholeParts {
+			if listed > 0 && listed+len(held) > maxListedParts {
 				out.More = true
 				continue
 			}
@@ -134,7 +134,7 @@
 }
 
 // pack writes events with each salt once.
-func (n *StoreNews) pack(events []stock.Event, now time.Time) {
+func (n *StoreUpdate) pack(events []stock.Event, now time.Time) {
 	index := map[string]int{}
 	for _, e := range events {
 		i, ok := index[e.Salt]
@@ -143,30 +143,30 @@
 			index[e.Salt] = i
 			n.Salts = append(n.Salts, e.Salt)
 		}
-		p := PartNews{Salt: i, Part: e.Part, Tokens: gonePart}
+		p := PartUpdate{Salt: i, Part: e.Part, Tokens: removedPart}
 		if e.Added {
 			p.Tokens = e.Tokens
 		}
 		n.Parts = append(n.Parts, p)
-		n.Ages = append(n.Ages, ageOf(e.At, now))
+		n.Ages = append(n.Ages, encodeAge(e.At, now))
 	}
 }
 
-// ageOf tells by when a part was complete, which is at most listLead from now.
-func ageOf(at, now time.Time) byte {
+// encodeAge tells by when a part was complete, which is at most listLead from now.
+func encodeAge(at, now time.Time) byte {
 	if at.IsZero() {
 		return 0
 	}
 	return byte(min(max(now.Add(listLead).Sub(at)/ageStep, 0), math.MaxUint8))
 }
 
-// completeBy reads what ageOf wrote.
-func completeBy(age byte, now time.Time) time.Time {
+// decodeAge reads what encodeAge wrote.
+func decodeAge(age byte, now time.Time) time.Time {
 	return now.Add(listLead - time.Duration(age)*ageStep)
 }
 
-// events reads what pack wrote, heard at a time; parts that name no salt are left out.
-func (n *StoreNews) events(heard time.Time) []stock.Event {
+// unpack reads what pack wrote, heard at a time; parts that name no salt are left out.
+func (n *StoreUpdate) unpack(heard time.Time) []stock.Event {
 	out := make([]stock.Event, 0, len(n.Parts))
 	for i, p := range n.Parts {
 		if p.Salt < 0 || p.Salt >= len(n.Salts) {
@@ -174,46 +174,46 @@
 		}
 		e := stock.Event{Key: stock.Key{Salt: n.Salts[p.Salt], Part: p.Part}, Added: p.Tokens >= 0, Tokens: max(p.Tokens, 0)}
 		if i < len(n.Ages) {
-			e.At = completeBy(n.Ages[i], heard)
+			e.At = decodeAge(n.Ages[i], heard)
 		}
 		out = append(out, e)
 	}
 	return out
 }
 
-// place is this instance's place in the tree now.
-func (c *cacheDirectory) place() position {
+// treePosition is this instance's place in the tree now.
+func (c *cacheDirectory) treePosition() treePosition {
 	v := c.g.view.Load()
-	if c.g.joins() {
-		return position{} // not known yet
+	if c.g.isJoining() {
+		return treePosition{} // not known yet
 	}
 	return v.Tree.position()
 }
 
-// pull takes the directory from others, as long as this instance does not follow
+// pullDirectory takes the directory from others, as long as this instance does not follow
 // the stores itself.
-func (c *cacheDirectory) pull(ctx context.Context) {
-	var sources []string // as of the last look
-	var ask DirectoryAsk // by the numbers of the source asked last
-	failures := 0        // since sources changed; it chooses among them
-	missing := false     // the last look failed
-	gap := pullGap
+func (c *cacheDirectory) pullDirectory(ctx context.Context) {
+	var sources []string     // as of the last look
+	var ask DirectoryRequest // by the numbers of the source asked last
+	failures := 0            // since sources changed; it chooses among them
+	missing := false         // the last look failed
+	gap := pullInterval
 	for wait.For(ctx, gap*3/4+rand.N(gap/2)) {
-		gap = pullGap
-		at := c.place()
+		gap = pullInterval
+		at := c.treePosition()
 		if len(at.sources) == 0 {
-			ask = DirectoryAsk{}
+			ask = DirectoryRequest{}
 			continue
 		}
 		if !slices.Equal(sources, at.sources) {
-			sources, failures, ask = at.sources, 0, DirectoryAsk{}
+			sources, failures, ask = at.sources, 0, DirectoryRequest{}
 		}
 		source := sources[failures%len(sources)]
 		started := c.g.now()
-		d, err := c.look(ctx, source, ask)
+		d, err := c.requestDirectory(ctx, source, ask)
 		if err != nil {
 			failures++
-			missing, ask = true, DirectoryAsk{}
+			missing, ask = true, DirectoryRequest{}
 			c.g.log.WithError(err).WithField("peer", source).WithField("failures", failures).Warn("cache directory not had")
 			continue
 		}
@@ -221,49 +221,49 @@
 			c.g.log.WithField("peer", source).WithField("stores", len(d.Stores)).Info("cache directory had again")
 		}
 		missing = false
-		ask = DirectoryAsk{Process: d.Process, Seq: d.Seq, Stores: c.take(d, started)}
+		ask = DirectoryRequest{Process: d.Process, Seq: d.Seq, Stores: c.applyDirectory(d, started)}
 		if d.More {
-			gap = moreGap
+			gap = pullMoreInterval
 		}
 	}
 }
 
-func (c *cacheDirectory) look(ctx context.Context, source string, ask DirectoryAsk) (Directory, error) {
+func (c *cacheDirectory) requestDirectory(ctx context.Context, source string, ask DirectoryRequest) (DirectoryReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
-	var d Directory
+	var d DirectoryReply
 	asked := c.g.now()
 	err := c.g.pool.Call(ctx, source, peerService+".Directory", &ask, &d)
-	c.g.fresh.Take(d.Fresh, asked)
+	c.g.staleness.Take(d.Staleness, asked)
 	return d, err
 }
 
-// take brings the inventories up to date with another's word, asked for at started. It
+// applyDirectory brings the inventories up to date with another's word, asked for at started. It
 // returns the stores that are known now; others must be told anew.
-func (c *cacheDirectory) take(d Directory, started time.Time) (known []string) {
+func (c *cacheDirectory) applyDirectory(d DirectoryReply, started time.Time) (known []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.setClock(d.ClockMS)
+	c.setServerClock(d.ClockMS)
 	for i := range d.Stores {
 		n := &d.Stores[i]
 		sh := c.inventories[n.Address]
-		if sh == nil || sh.cancel != nil {
+		if sh == nil || sh.stopPolling != nil {
 			continue // not declared here yet, or followed by this instance itself
 		}
-		if c.takeStore(sh, n, started) {
+		if c.applyStore(sh, n, started) {
 			known = append(known, n.Address)
 		}
 	}
 	return known
 }
 
-// takeStore is take for one store; c.mu is held.
-func (c *cacheDirectory) takeStore(sh *inventory, n *StoreNews, started time.Time) bool {
+// applyStore is take for one store; c.mu is held.
+func (c *cacheDirectory) applyStore(sh *storeInventory, n *StoreUpdate, started time.Time) bool {
 	now := c.g.now()
-	events := n.events(now)
+	events := n.unpack(now)
 	asOf := started.Add(-time.Duration(n.AgeMS) * time.Millisecond)
 	w := stock.Answer{Epoch: n.Epoch, AsOf: asOf, Whole: asOf.Add(-time.Duration(n.BehindMS) * time.Millisecond), Heard: now}
-	if !n.Whole {
+	if !n.Complete {
 		ok := sh.Apply(w, false, events)
 		if ok {
 			c.journal.Add(n.Address, events)
@@ -274,7 +274,7 @@
 	for i, e := range events {
 		held[i] = stock.Held{Key: e.Key, Tokens: e.Tokens, At: e.At}
 	}
-	c.listed(sh, n.Address, w, held)
+	c.applyList(sh, n.Address, w, held)
 	c.g.log.WithField("address", n.Address).WithField("epoch", n.Epoch).WithField("parts", len(held)).WithField("age_ms", n.AgeMS).
 		Info("cache store taken over from a peer")
 	return true
--- a/internal/gateway/directory_test.go
+++ b/internal/gateway/directory_test.go
@@ -14,7 +14,7 @@
 	"github.com/shedhoist/shedhoist/internal/core/stock"
 )
 
-func fleetOf(n, zones int) []member.Member {
+func membersOf(n, zones int) []member.Member {
 	out := make([]member.Member, n)
 	for i := range out {
 		out[i] = member.Member{Name: fmt.Sprintf("e-%d", i), Address: fmt.Sprintf("10.0.0.%d:1", i), Zone: fmt.Sprintf("z%d", i%zones)}
@@ -27,30 +27,30 @@
 	for _, c := range []struct{ n, zones, depth int }{{1, 1, 0}, {9, 3, 0}, {16, 3, 0}, {17, 3, 1}, {59, 3, 1}, {91, 4, 1}, {300, 3, 2}, {330, 7, 2}, {1000, 3, 3}} {
 		t.Run(fmt.Sprintf("%d in %d", c.n, c.zones), func(t *testing.T) {
 			is := is.New(t)
-			all := fleetOf(c.n, c.zones)
+			all := membersOf(c.n, c.zones)
 			byAddress, asked, follow := map[string]member.Member{}, map[string]int{}, 0
 			for _, m := range all {
 				byAddress[m.Address] = m
 			}
 			for _, m := range all {
-				at := newTree(all, m).position()
-				is.Equal(at.follows, slices.Contains(newTree(all, m).followers(), m.Name))
-				if at.follows {
+				at := newRelayTree(all, m).position()
+				is.Equal(at.polls, slices.Contains(newRelayTree(all, m).pollers(), m.Name))
+				if at.polls {
 					follow++
 					continue
 				}
 				asked[at.sources[0]]++
 				steps := 0
-				for ; !at.follows; steps++ {
+				for ; !at.polls; steps++ {
 					parent := byAddress[at.sources[0]]
 					is.Equal(parent.Zone, m.Zone)
-					at = newTree(all, parent).position()
+					at = newRelayTree(all, parent).position()
 				}
 				is.True(steps <= c.depth)
 			}
-			is.True(follow <= max(smallFleet, storePolls))
+			is.True(follow <= max(maxSmallFleet, maxStorePollers))
 			for _, n := range asked {
-				is.True(n <= treeFan)
+				is.True(n <= treeFanout)
 			}
 		})
 	}
@@ -63,10 +63,10 @@
 	c := controlOf(self.Name, self.Zone)
 	c.members = member.New(member.DefaultParams, self, func(int) int { return 0 })
 	c.members.Leave()
-	v := c.view()
+	v := c.buildView()
 	is.Equal(len(v.Alive), 0)
-	is.Equal(len(v.Tree.followers()), 0)
-	is.True(v.Tree.position().follows)
+	is.Equal(len(v.Tree.pollers()), 0)
+	is.True(v.Tree.position().polls)
 }
 
 // TestStoreNews: changes come out as they were put in; a part that names no salt
@@ -78,15 +78,15 @@
 		{Key: stock.Key{Salt: "s2", Part: "a"}},
 		{Key: stock.Key{Salt: "s1", Part: "b"}, Added: true},
 	}
-	var n StoreNews
+	var n StoreUpdate
 	n.pack(in, at0)
 	for i := range in {
 		in[i].At = at0.Add(listLead) // what is told of no moment counts as of now, at its latest
 	}
-	is.Equal(n.events(at0), in)
+	is.Equal(n.unpack(at0), in)
 	is.Equal(len(n.Salts), 2)
-	n.Parts = append(n.Parts, PartNews{Salt: 2, Part: "c"}, PartNews{Salt: -1, Part: "d"})
-	is.Equal(n.events(at0), in)
+	n.Parts = append(n.Parts, PartUpdate{Salt: 2, Part: "c"}, PartUpdate{Salt: -1, Part: "d"})
+	is.Equal(n.unpack(at0), in)
 }
 
 // directoryOf is an instance's directory that others may ask.
@@ -103,40 +103,40 @@
 	const stores, parts = 13, 400
 	for s := range stores {
 		address := fmt.Sprintf("10.0.1.%d:1", s)
-		teller.inventories[address], asker.inventories[address] = &inventory{}, &inventory{}
+		teller.inventories[address], asker.inventories[address] = &storeInventory{}, &storeInventory{}
 		held := make([]stock.Held, parts)
 		for i := range held {
 			held[i] = stock.Held{Key: stock.Key{Salt: "s", Part: fmt.Sprint(i)}, Tokens: 100}
 		}
-		teller.listed(teller.inventories[address], address, answerOfStore(1, 1, now, now), held)
+		teller.applyList(teller.inventories[address], address, directAnswer(1, 1, now, now), held)
 	}
-	var ask DirectoryAsk
+	var ask DirectoryRequest
 	for look := 0; ; look++ {
-		is.True(look < 2*stores*parts/wholeParts)
-		d := teller.tell(ask)
+		is.True(look < 2*stores*parts/maxListedParts)
+		d := teller.directoryFor(ask)
 		listed := 0
 		for _, n := range d.Stores {
-			if n.Whole {
+			if n.Complete {
 				listed += len(n.Parts)
 			}
 		}
-		is.True(listed <= wholeParts)
-		ask = DirectoryAsk{Process: d.Process, Seq: d.Seq, Stores: asker.take(d, now)}
+		is.True(listed <= maxListedParts)
+		ask = DirectoryRequest{Process: d.Process, Seq: d.Seq, Stores: asker.applyDirectory(d, now)}
 		if !d.More {
 			is.True(look > 0)
 			break
 		}
 		for address, sh := range teller.inventories {
 			e := []stock.Event{{Key: stock.Key{Salt: "s", Part: fmt.Sprintf("new-%d", look)}, Added: true, Tokens: 50}}
-			is.True(sh.Apply(answerOfStore(1, uint64(look+2), now, now), false, e))
+			is.True(sh.Apply(directAnswer(1, uint64(look+2), now, now), false, e))
 			teller.journal.Add(address, e)
 		}
 	}
-	is.True(asker.take(teller.tell(ask), now) != nil)
+	is.True(asker.applyDirectory(teller.directoryFor(ask), now) != nil)
 	for address, sh := range teller.inventories {
 		is.Equal(len(asker.inventories[address].All()), len(sh.All()))
 	}
-	is.True(!teller.tell(ask).More)
+	is.True(!teller.directoryFor(ask).More)
 }
 
 // TestAgesAreTold guards against a part that is taken for older by those who hear of it from another
@@ -146,11 +146,11 @@
 	const way = 30 * time.Millisecond
 	for _, age := range []time.Duration{-listLead, 0, 7 * time.Millisecond, time.Second, time.Hour} {
 		at := at0.Add(-age)
-		var n StoreNews
+		var n StoreUpdate
 		n.pack([]stock.Event{{Key: stock.Key{Salt: "s", Part: "a"}, Added: true, Tokens: 100, At: at}}, at0)
-		told := n.events(at0.Add(way))[0].At
+		told := n.unpack(at0.Add(way))[0].At
 		is.True(!told.Before(at))
-		is.True(told.Sub(at) < way+ageStep || at0.Sub(told) > bounds.FetchDelay())
+		is.True(told.Sub(at) < way+ageStep || at0.Sub(told) > cacheBounds.FetchDelay())
 	}
 }
 
@@ -158,7 +158,7 @@
 // held up on its way may be as old as its question.
 func TestPolledAt(t *testing.T) {
 	is := is.New(t)
-	is.Equal(polledAt(at0, at0.Add(time.Minute), 1), at0)
-	is.Equal(polledAt(at0, at0.Add(pollWait/2), 0), at0) // the store did not wait
-	is.Equal(polledAt(at0, at0.Add(time.Minute), 0), at0.Add(pollWait))
+	is.Equal(pollValidAt(at0, at0.Add(time.Minute), 1), at0)
+	is.Equal(pollValidAt(at0, at0.Add(storePollWait/2), 0), at0) // the store did not wait
+	is.Equal(pollValidAt(at0, at0.Add(time.Minute), 0), at0.Add(storePollWait))
 }
--- a/internal/gateway/evacuations_test.go
+++ b/internal/gateway/evacuations_test.go
@@ -28,21 +28,21 @@
 // EvacuationsKind names the kind of the objects that evacuate zones.
 func (evacuationCodec) EvacuationsKind() string { return memoryEvacuations }
 
-// arrivals notes the last request that reached each zone's targets.
-type arrivals struct {
+// arrivalLog notes the last request that reached each zone's targets.
+type arrivalLog struct {
 	mu   sync.Mutex
 	last map[string]time.Time
 	seen map[string]int
 }
 
-func (a *arrivals) note(m *memoryTarget, _ *http.Request) {
+func (a *arrivalLog) note(m *memoryTarget, _ *http.Request) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.last[m.zone] = time.Now()
 	a.seen[m.zone]++
 }
 
-func (a *arrivals) in(zone string) (time.Time, int) {
+func (a *arrivalLog) in(zone string) (time.Time, int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.last[zone], a.seen[zone]
@@ -52,49 +52,49 @@
 // instances.
 type evacuatedFleet struct {
 	*trafficFleet
-	arrivals *arrivals
-	asked    atomic.Int32 // instances that callers know
-	stopped  chan struct{}
-	asking   sync.WaitGroup
+	arrivals       *arrivalLog
+	records        atomic.Int32 // instances that callers know
+	stopped        chan struct{}
+	loadGenerators sync.WaitGroup
 
 	mu     sync.Mutex
 	failed int
 }
 
-// askEvery is the pause between two requests to the fleet.
-const askEvery = 5 * time.Millisecond
+// requestInterval is the pause between two requests to the fleet.
+const requestInterval = 5 * time.Millisecond
 
 func newEvacuatedFleet(t *testing.T, n int) *evacuatedFleet {
-	a := &arrivals{last: map[string]time.Time{}, seen: map[string]int{}}
+	a := &arrivalLog{last: map[string]time.Time{}, seen: map[string]int{}}
 	f := &evacuatedFleet{arrivals: a, stopped: make(chan struct{})}
 	f.trafficFleet = newFleetWith(t, n, 3, 9, fleetOptions{codec: evacuationCodec{}, arrived: a.note,
 		edit: func(s *Settings) { s.EvacuateWithin = evacuateBound }})
-	f.asked.Store(int32(n))
+	f.records.Store(int32(n))
 	return f
 }
 
 // join starts one more instance, which callers use at once.
 func (f *evacuatedFleet) join() int {
-	i := f.trafficFleet.join()
-	f.asked.Add(1)
+	i := f.trafficFleet.addInstance()
+	f.records.Add(1)
 	return i
 }
 
-// press sends requests to all instances in turn until the end.
-func (f *evacuatedFleet) press() {
-	f.asking.Add(1)
+// sendLoad sends requests to all instances in turn until the end.
+func (f *evacuatedFleet) sendLoad() {
+	f.loadGenerators.Add(1)
 	go func() {
-		defer f.asking.Done()
+		defer f.loadGenerators.Done()
 		for i := 0; ; i++ {
 			select {
 			case <-f.stopped:
 				return
-			case <-time.After(askEvery):
+			case <-time.After(requestInterval):
 			}
-			f.asking.Add(1)
+			f.loadGenerators.Add(1)
 			go func() {
-				defer f.asking.Done()
-				if f.askAt(fmt.Sprintf("e-%03d:1", i%int(f.asked.Load())), pathSafe, fmt.Sprint("request ", i)).status != http.StatusOK {
+				defer f.loadGenerators.Done()
+				if f.requestAt(fmt.Sprintf("e-%03d:1", i%int(f.records.Load())), pathSafe, fmt.Sprint("request ", i)).status != http.StatusOK {
 					f.mu.Lock()
 					defer f.mu.Unlock()
 					f.failed++
@@ -113,12 +113,12 @@
 
 func (f *evacuatedFleet) end() {
 	close(f.stopped)
-	f.asking.Wait()
+	f.loadGenerators.Wait()
 	f.stop()
 }
 
 func (f *evacuatedFleet) evacuate(zone string) { f.store.set(memoryEvacuations, zone, struct{}{}) }
-func (f *evacuatedFleet) takeBack(zone string) { f.store.remove(memoryEvacuations, zone) }
+func (f *evacuatedFleet) release(zone string)  { f.store.remove(memoryEvacuations, zone) }
 
 // TestEvacuatedZone guards against requests to an evacuated zone, and one left unused once taken back.
 func TestEvacuatedZone(t *testing.T) {
@@ -134,24 +134,24 @@
 		{"a large fleet", 60, evacuateAim, nil, nil},
 		{"the store falls silent once its watches are answered", 60, evacuateBound, nil, func(f *evacuatedFleet) {
 			time.Sleep(2 * memoryAnswer)
-			f.silence(true)
+			f.silenceStore(true)
 		}},
 		{"the store is silent to the watchers and a third more", 60, evacuateBound, func(f *evacuatedFleet) {
 			for _, i := range f.byRank(watcherRole)[:20] {
-				f.doors[i].shut(true)
+				f.storeClients[i].setSilent(true)
 			}
 		}, nil},
-		{"history is lost", 9, evacuateBound, nil, func(f *evacuatedFleet) { f.store.forget() }},
-		{"history of a large fleet is lost", 60, evacuateBound, nil, func(f *evacuatedFleet) { f.store.forget() }},
+		{"history is lost", 9, evacuateBound, nil, func(f *evacuatedFleet) { f.store.truncateHistory() }},
+		{"history of a large fleet is lost", 60, evacuateBound, nil, func(f *evacuatedFleet) { f.store.truncateHistory() }},
 		{"some are cut off for 3 s", 9, evacuateBound, func(f *evacuatedFleet) {
-			f.cutOff([]int{3, 4}, true)
-			time.AfterFunc(3*time.Second, func() { f.cutOff([]int{3, 4}, false) })
+			f.isolate([]int{3, 4}, true)
+			time.AfterFunc(3*time.Second, func() { f.isolate([]int{3, 4}, false) })
 		}, nil},
 		{"an instance starts meanwhile", 9, evacuateAim, nil, func(f *evacuatedFleet) { time.Sleep(evacuateAim); f.join() }},
-		{"an instance starts, and only peers can tell it", 9, evacuateAim, nil, func(f *evacuatedFleet) { time.Sleep(evacuateAim); f.doors[f.join()].shut(true) }},
+		{"an instance starts, and only peers can tell it", 9, evacuateAim, nil, func(f *evacuatedFleet) { time.Sleep(evacuateAim); f.storeClients[f.join()].setSilent(true) }},
 		{"taken back and evacuated again", 9, evacuateAim, nil, func(f *evacuatedFleet) {
 			for range 4 {
-				f.takeBack(zone)
+				f.release(zone)
 				time.Sleep(100 * time.Millisecond)
 				f.evacuate(zone)
 				time.Sleep(100 * time.Millisecond)
@@ -159,9 +159,9 @@
 		}},
 		{"its entry can't be read", 9, evacuateAim, nil, func(f *evacuatedFleet) { f.store.set(memoryEvacuations, zone, []any{1, "no object", nil}) }},
 		{"the configuration changes beside it", 60, evacuateAim, func(f *evacuatedFleet) {
-			f.store.set(memoryConfigs, memoryConfig, declared{Version: 2, Keys: []string{"key"}})
+			f.store.set(memoryConfigs, memoryConfig, storedConfig{Version: 2, Keys: []string{"key"}})
 		}, func(f *evacuatedFleet) {
-			f.store.set(memoryConfigs, memoryConfig, declared{Version: 3, Keys: []string{"key"}})
+			f.store.set(memoryConfigs, memoryConfig, storedConfig{Version: 3, Keys: []string{"key"}})
 		}},
 		{"all instances restart", 9, evacuateAim, nil, func(f *evacuatedFleet) { time.Sleep(evacuateAim); f.restartAll() }},
 	}
@@ -172,7 +172,7 @@
 				is := is.New(t)
 				f := newEvacuatedFleet(t, c.n)
 				defer f.end()
-				f.press()
+				f.sendLoad()
 				time.Sleep(time.Second)
 				_, used := f.arrivals.in(zone)
 				is.True(used > 0)
@@ -189,9 +189,9 @@
 				if late := last.Sub(acknowledged); late > c.within {
 					t.Errorf("a request reached the zone %v after its evacuation", late)
 				}
-				f.silence(false)
+				f.silenceStore(false)
 				time.Sleep(4 * time.Second) // calls that hang have ended
-				f.takeBack(zone)
+				f.release(zone)
 				_, before := f.arrivals.in(zone)
 				time.Sleep(evacuateBound)
 				_, after := f.arrivals.in(zone)
@@ -208,7 +208,7 @@
 		f := newEvacuatedFleet(t, 3)
 		defer f.end()
 		f.evacuate("nowhere")
-		f.press()
+		f.sendLoad()
 		time.Sleep(3 * time.Second)
 		is.Equal(f.failures(), 0)
 		for _, zone := range []string{"z0", "z1", "z2"} {
@@ -230,15 +230,15 @@
 		time.Sleep(evacuateAim)
 		for i := range 6 {
 			began := time.Now()
-			a := f.ask(i%3, pathOnce, "x")
+			a := f.request(i%3, pathOnce, "x")
 			is.Equal(a.status, http.StatusServiceUnavailable)
 			is.True(strings.Contains(a.body, `"not-run"`))
 			is.True(strings.Contains(a.body, "evacuated"))
 			is.True(time.Since(began) < 50*time.Millisecond)
 		}
-		f.takeBack("z2")
+		f.release("z2")
 		time.Sleep(evacuateAim)
-		is.Equal(f.ask(0, pathOnce, "x").status, http.StatusOK)
+		is.Equal(f.request(0, pathOnce, "x").status, http.StatusOK)
 	})
 }
 
@@ -256,17 +256,17 @@
 			all.Add(1)
 			go func() {
 				defer all.Done()
-				conn := f.call(i % 3)
-				head := fmt.Sprintf("POST %sx HTTP/1.1\r\nHost: %s\r\n%s: slow-%d\r\n%s: key\r\nContent-Length: 2\r\n\r\na", pathSafe, hostAll, trafficID, i, trafficKey)
+				conn := f.dialCaller(i % 3)
+				head := fmt.Sprintf("POST %sx HTTP/1.1\r\nHost: %s\r\n%s: slow-%d\r\n%s: key\r\nContent-Length: 2\r\n\r\na", pathSafe, anyHost, trafficID, i, trafficKey)
 				if _, err := io.Copy(conn, strings.NewReader(head)); err != nil {
 					t.Error(err)
 				}
 				time.Sleep(3 * time.Second)
-				is.Equal(exchangeOn(conn, "b").status, http.StatusOK)
+				is.Equal(roundTrip(conn, "b").status, http.StatusOK)
 			}()
 		}
 		time.Sleep(time.Second) // all have their heads in
-		f.takeBack("z0")
+		f.release("z0")
 		f.evacuate("z2")
 		acknowledged := time.Now()
 		all.Wait()
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -25,49 +25,49 @@
 	arrived time.Time
 	view    *View
 
-	call     Call
+	call     CallerRequest
 	route    *catalog.Route
 	customer *catalog.Customer // nil: the route is public
 	body     []byte
 	service  string
 
-	ctx      context.Context
-	deadline time.Time
-	machine  *attempt.Request
-	ran      int // attempts that may have run
-	dials    int // attempts of which nothing was sent
-	refusals int // attempts that the target refused without running
+	ctx          context.Context
+	deadline     time.Time
+	machine      *attempt.Request
+	possibleRuns int // attempts that may have run
+	failedDials  int // attempts of which nothing was sent
+	refusals     int // attempts that the target refused without running
 
-	begun     bool   // the caller has the header of an answer
-	lastEvent string // id of the last event that the caller has
-	firstMS   float64
-	targets   []string                // ids of those tried
-	word      Word                    // of the last one
-	freshTo   string                  // of these, one that may be tried again by a new connection
-	lastZone  string                  // zone of the last one
-	sources   map[uint64][]partSource // where the prompt's parts are, by weight version, as of this attempt
-	asks      cacheWork               // what the attempt asks of its target
-	plan      cachePlan
+	headerSent    bool   // the caller has the header of an answer
+	lastEventID   string // id of the last event that the caller has
+	firstByteMS   float64
+	triedTargets  []string                // ids of those tried
+	notice        Notice                  // of the last one
+	newConnTarget string                  // of these, one that may be tried again by a new connection
+	lastZone      string                  // zone of the last one
+	partSources   map[uint64][]partSource // where the prompt's parts are, by weight version, as of this attempt
+	promptWork    promptWork              // what the attempt asks of its target
+	plan          cachePlan
 
-	key         *quarantine.Key      // see alike
-	dark        map[string]bool      // zones that are silent, as of this attempt
-	restEnds    map[string]time.Time // ends of the rests that targets ask for, as of this attempt
-	entered     bool                 // it holds a place at a cold target, see cold.go
-	trial       bool                 // it is let through to try whether its quarantine is right
-	suspect     *quarantine.State    // what it was rejected for
-	decision    place.Decision       // the one that refused the request
-	predictedMS float64
-	spare       *spareAnswer // a failure of a target's own, delivered if nothing better comes
-	ended       bool
+	keyCache         *quarantine.Key      // see alike
+	unreachableZones map[string]bool      // zones that are silent, as of this attempt
+	backoffUntil     map[string]time.Time // ends of the rests that targets ask for, as of this attempt
+	warmupSlotHeld   bool                 // it holds a place at a cold target, see cold.go
+	isTrial          bool                 // it is let through to try whether its quarantine is right
+	quarantineState  *quarantine.State    // what it was rejected for
+	decision         place.Decision       // the one that refused the request
+	predictedMS      float64
+	fallback         *bufferedResponse // a failure of a target's own, delivered if nothing better comes
+	finished         bool
 }
 
 // Bounds of one request's attempts beyond those that may have run, which its
 // route bounds.
 const (
-	maxDials    = 3
-	maxRefusals = 2
-	// leastLeft is the time below which another attempt is not worth a target's work.
-	leastLeft = 30 * time.Millisecond
+	maxFailedDials = 3
+	maxRefusals    = 2
+	// minTimeLeft is the time below which another attempt is not worth a target's work.
+	minTimeLeft = 30 * time.Millisecond
 )
 
 // run sends the request to targets until it has its final answer.
@@ -76,36 +76,36 @@
 	ctx, cancel := context.WithDeadline(x.r.Context(), x.deadline)
 	defer cancel()
 	x.ctx = ctx
-	x.machine = attempt.New(x.route.Repeatable(), x.route.Resumable, maxDials+maxRefusals+x.route.MaxAttempts+1)
-	x.g.budgets.request(x.service)
+	x.machine = attempt.New(x.route.Repeatable(), x.route.Resumable, maxFailedDials+maxRefusals+x.route.MaxAttempts+1)
+	x.g.retryBudgets.creditRequest(x.service)
 	for {
-		if s, yes := x.rejected(); yes {
-			x.reject(s)
+		if s, yes := x.checkQuarantine(); yes {
+			x.refuseQuarantined(s)
 			return
 		}
 		x.view = x.g.view.Load() // time has passed since it came, or since the last attempt
-		t, d := x.pick()
+		t, d := x.chooseTarget()
 		switch d.Action {
 		case place.Refuse:
-			x.refuseFull(d)
+			x.refuseMemoryFull(d)
 			return
 		case place.None:
 			x.refuseNoTarget(d)
 			return
 		}
-		end := x.try(t)
+		end := x.tryTarget(t)
 		if end.delivered {
 			x.machine.Step(attempt.Done, nil)
 			if isSuccess(end.status) {
-				x.g.answered(x)
+				x.g.recordSuccess(x)
 			}
 			x.finish(end.status, outcomeDone, "")
 			return
 		}
-		if !x.again(end) {
+		if !x.retryOrFail(end) {
 			return
 		}
-		x.sources = nil // what the stores hold may have changed since
+		x.partSources = nil // what the stores hold may have changed since
 	}
 }
 
@@ -115,8 +115,8 @@
 // timeout is the longest time from the request's arrival to the end of its answer.
 func (x *exchange) timeout() time.Duration {
 	timeout := x.route.Timeout
-	if x.call.Patience > 0 && (timeout <= 0 || x.call.Patience < timeout) {
-		timeout = x.call.Patience
+	if x.call.Timeout > 0 && (timeout <= 0 || x.call.Timeout < timeout) {
+		timeout = x.call.Timeout
 	}
 	if timeout <= 0 {
 		timeout = defaultTimeout
@@ -142,103 +142,103 @@
 	return backends[len(backends)-1].Service
 }
 
-// ending is how one attempt ended.
-type ending struct {
+// attemptResult is how one attempt ended.
+type attemptResult struct {
 	delivered  bool // the caller has the whole answer
 	status     int
 	event      attempt.Event // if it was not delivered
 	cause      error
 	retryAfter time.Duration
-	paid       bool // another attempt is paid for already
-	broken     bool // the connection to the target broke
+	retryPaid  bool // another attempt is paid for already
+	connBroken bool // the connection to the target broke
 }
 
-// again decides what follows an attempt that delivered nothing whole. It returns
+// retryOrFail decides what follows an attempt that delivered nothing whole. It returns
 // false if the request has ended.
-func (x *exchange) again(end ending) bool {
+func (x *exchange) retryOrFail(end attemptResult) bool {
 	switch end.event {
 	case attempt.NotSent:
-		x.dials++
+		x.failedDials++
 	case attempt.Refused:
 		x.refusals++
 	default:
-		x.ran++
+		x.possibleRuns++
 	}
 	if errors.Is(x.r.Context().Err(), context.Canceled) {
 		end.event = attempt.CallerGone // whatever the attempt met since
 	}
-	v := x.machine.Step(end.event, func() bool { return x.allowed(end) })
+	v := x.machine.Step(end.event, func() bool { return x.mayRetry(end) })
 	if v.Action != attempt.Fail {
 		metric.Retries.Inc()
-		x.logAttempt(end, v.Action.String())
+		x.logFailedAttempt(end, v.Action.String())
 		return true
 	}
-	x.logAttempt(end, "end")
-	x.failAfter(v, end)
+	x.logFailedAttempt(end, "end")
+	x.fail(v, end)
 	return false
 }
 
-// allowed says whether the route, the time and the budget leave another attempt.
-func (x *exchange) allowed(end ending) bool {
-	if x.deadline.Sub(x.g.now()) < leastLeft || x.trial && end.event != attempt.NotSent {
+// mayRetry says whether the route, the time and the budget leave another attempt.
+func (x *exchange) mayRetry(end attemptResult) bool {
+	if x.deadline.Sub(x.g.now()) < minTimeLeft || x.isTrial && end.event != attempt.NotSent {
 		return false
 	}
 	switch end.event {
 	case attempt.NotSent:
-		return x.dials <= maxDials // it reached no target, and so costs no budget
+		return x.failedDials <= maxFailedDials // it reached no target, and so costs no budget
 	case attempt.Refused:
-		return x.refusals <= maxRefusals && x.g.budgets.retry(x.service)
+		return x.refusals <= maxRefusals && x.g.retryBudgets.spendRetry(x.service)
 	}
-	return x.ran < x.route.MaxAttempts && (end.paid || x.g.budgets.retry(x.service))
+	return x.possibleRuns < x.route.MaxAttempts && (end.retryPaid || x.g.retryBudgets.spendRetry(x.service))
 }
 
-// failAfter ends the request: with a target's own failure if there is one, else
+// fail ends the request: with a target's own failure if there is one, else
 // with an answer of our own, or with a cut if an answer has begun.
-func (x *exchange) failAfter(v attempt.Verdict, end ending) {
+func (x *exchange) fail(v attempt.Verdict, end attemptResult) {
 	x.endTrial()
 	if errors.Is(x.r.Context().Err(), context.Canceled) {
 		x.finish(0, string(problem.CallerGone), "")
 		panic(http.ErrAbortHandler)
 	}
-	if x.begun {
+	if x.headerSent {
 		x.finish(0, "cut", string(v.Kind))
 		panic(http.ErrAbortHandler) // the answer can't be completed: it must not look whole
 	}
-	if x.spare != nil {
-		x.spare.deliver(x)
-		x.finish(x.spare.status, "target-failure", "")
+	if x.fallback != nil {
+		x.fallback.deliver(x)
+		x.finish(x.fallback.status, "target-failure", "")
 		return
 	}
 	p := &problem.Problem{Kind: v.Kind, Execution: v.Execution, Detail: problem.Detail(v.Kind)}
 	if v.Execution == problem.NotRun {
-		p.RetryAfter = max(end.retryAfter, comeBackSoon)
+		p.RetryAfter = max(end.retryAfter, retryAfterShort)
 	}
 	x.refuse(p)
 }
 
-// logAttempt writes one line for an attempt that did not deliver.
-func (x *exchange) logAttempt(end ending, next string) {
-	e := x.g.log.WithField("request", x.call.ID).WithField("target", x.targets[len(x.targets)-1]).WithField("ended", end.event.String()).
-		WithField("next", next).WithField("age_ms", x.sinceMS()).WithField("key", x.alike().String())
+// logFailedAttempt writes one line for an attempt that did not deliver.
+func (x *exchange) logFailedAttempt(end attemptResult, next string) {
+	e := x.g.log.WithField("request", x.call.ID).WithField("target", x.triedTargets[len(x.triedTargets)-1]).WithField("ended", end.event.String()).
+		WithField("next", next).WithField("age_ms", x.elapsedMS()).WithField("key", x.quarantineKey().String())
 	if end.cause != nil {
 		e = e.WithError(end.cause)
 	}
-	if x.word.Rest > 0 {
-		e = e.WithField("rest_ms", x.word.Rest.Milliseconds())
+	if x.notice.Backoff > 0 {
+		e = e.WithField("rest_ms", x.notice.Backoff.Milliseconds())
 	}
-	if x.word.Leaving {
+	if x.notice.Leaving {
 		e = e.WithField("target_leaves", true)
 	}
 	e.Info("attempt failed")
 }
 
-// alike is the key that the request shares with those that do the same to a target.
-func (x *exchange) alike() quarantine.Key {
-	if x.key == nil {
+// quarantineKey is the key that the request shares with those that do the same to a target.
+func (x *exchange) quarantineKey() quarantine.Key {
+	if x.keyCache == nil {
 		k := quarantine.KeyOf(quarantine.Request{Customer: x.customerName(), Method: x.r.Method, Host: x.r.Host, URI: x.r.URL.RequestURI(), Body: x.body})
-		x.key = &k
+		x.keyCache = &k
 	}
-	return *x.key
+	return *x.keyCache
 }
 
 // customerName is empty where the route is public.
@@ -249,7 +249,7 @@
 	return x.customer.Name
 }
 
-func (x *exchange) sinceMS() float64 {
+func (x *exchange) elapsedMS() float64 {
 	return float64(x.g.now().Sub(x.arrived)) / float64(time.Millisecond)
 }
 
@@ -258,10 +258,10 @@
 
 // finish writes the one line of a request's end and counts it.
 func (x *exchange) finish(status int, outcome, detail string) {
-	if x.ended {
+	if x.finished {
 		return
 	}
-	x.ended = true
+	x.finished = true
 	kind, route := "unrouted", ""
 	if x.route != nil {
 		kind, route = x.route.Kind.String(), x.route.Name
@@ -270,26 +270,26 @@
 	leftOut := int64(0)
 	if outcome == outcomeDone {
 		var ok bool
-		if ok, leftOut = x.g.successes.allow(x.g.now()); !ok {
+		if ok, leftOut = x.g.successSampler.allow(x.g.now()); !ok {
 			return
 		}
 	}
-	e := x.g.log.WithField("request", x.call.ID).WithField("route", route).WithField("service", x.service).WithField("targets", x.targets).
-		WithField("outcome", outcome).WithField("status", status).WithField("ms", x.sinceMS()).WithField("config", x.configVersion())
-	if age, known := x.g.fresh.Age(fresh.Config, x.g.now()); known {
+	e := x.g.log.WithField("request", x.call.ID).WithField("route", route).WithField("service", x.service).WithField("targets", x.triedTargets).
+		WithField("outcome", outcome).WithField("status", status).WithField("ms", x.elapsedMS()).WithField("config", x.configVersion())
+	if age, known := x.g.staleness.Age(fresh.Config, x.g.now()); known {
 		e = e.WithField("config_age_ms", age.Milliseconds())
 	}
-	if x.firstMS > 0 {
-		e = e.WithField("first_ms", x.firstMS).WithField("predicted_ms", x.predictedMS)
+	if x.firstByteMS > 0 {
+		e = e.WithField("first_ms", x.firstByteMS).WithField("predicted_ms", x.predictedMS)
 	}
-	if x.plan.version > 0 {
-		e = e.WithField("weights", x.plan.version).WithField("fetch_ms", x.asks.FetchMS).WithField("target_zone", x.lastZone).WithField("fetched_parts", x.plan.fetches).WithField("saved_parts", len(x.plan.saved)).WithField("link", x.asks.Link).
-			WithField("read_tokens", x.asks.ReadTokens)
-		if x.plan.silentMS > 0 {
-			e = e.WithField("not_saved_target_silent_ms", x.plan.silentMS)
+	if x.plan.weightVersion > 0 {
+		e = e.WithField("weights", x.plan.weightVersion).WithField("fetch_ms", x.promptWork.FetchMS).WithField("target_zone", x.lastZone).WithField("fetched_parts", x.plan.fetchCount).WithField("saved_parts", len(x.plan.savedKeys)).WithField("link", x.promptWork.Link).
+			WithField("read_tokens", x.promptWork.ReadTokens)
+		if x.plan.targetSilentMS > 0 {
+			e = e.WithField("not_saved_target_silent_ms", x.plan.targetSilentMS)
 		}
 	}
-	if x.word.Leaving {
+	if x.notice.Leaving {
 		e = e.WithField("target_leaves", true)
 	}
 	if leftOut > 0 {
@@ -299,16 +299,16 @@
 		e = e.WithField("detail", detail)
 	}
 	if n := x.decision.AskRest; n > 0 {
-		e = e.WithField("resting_targets", n).WithField("rest_left_ms", x.restLeft().Milliseconds())
+		e = e.WithField("resting_targets", n).WithField("rest_left_ms", x.backoffLeft().Milliseconds())
 	}
 	if x.decision.Action == place.Refuse {
-		e = e.WithField("full_targets", x.decision.Full).WithField("free_tokens", x.decision.FreeTokens).WithField("needed_tokens", x.call.keeps())
+		e = e.WithField("full_targets", x.decision.Full).WithField("free_tokens", x.decision.FreeTokens).WithField("needed_tokens", x.call.memoryTokens())
 	}
-	if s := x.suspect; s != nil {
+	if s := x.quarantineState; s != nil {
 		e = e.WithField("crashes", s.Crashes).WithField("quarantined_ms", s.Since.Milliseconds()).WithField("trial_in_ms", s.TrialIn.Milliseconds())
 	}
 	if outcome != outcomeDone {
-		e = e.WithField("key", x.alike().String()).WithField("targets_revision", uint64(x.view.Revision)).WithField("store_age_ms", x.g.storeAge().Milliseconds())
+		e = e.WithField("key", x.quarantineKey().String()).WithField("targets_revision", uint64(x.view.TargetsRevision)).WithField("store_age_ms", x.g.sinceStoreContact().Milliseconds())
 	}
 	e.Info("request")
 }
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -43,7 +43,7 @@
 	n.cut[host] = yes
 }
 
-func (n *memoryNetwork) passes(hosts [2]string) bool {
+func (n *memoryNetwork) isConnected(hosts [2]string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return !n.cut[hosts[0]] && !n.cut[hosts[1]]
@@ -57,7 +57,7 @@
 			return nil, err
 		}
 		hosts := [2]string{host, to}
-		if !n.passes(hosts) {
+		if !n.isConnected(hosts) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
@@ -65,8 +65,8 @@
 	}
 }
 
-// hop is how long a message takes from one instance to another.
-const hop = 2 * time.Millisecond
+// networkDelay is how long a message takes from one instance to another.
+const networkDelay = 2 * time.Millisecond
 
 func (n *memoryNetwork) listen(address string) (net.Listener, error) {
 	n.mu.Lock()
@@ -191,8 +191,8 @@
 }
 
 func (m *memoryConn) deliver(p []byte) bool {
-	time.Sleep(hop)
-	if !m.network.passes(m.hosts) {
+	time.Sleep(networkDelay)
+	if !m.network.isConnected(m.hosts) {
 		return true // lost
 	}
 	_, err := m.Conn.Write(p)
@@ -220,8 +220,8 @@
 func (m *memoryConn) Close() error {
 	m.once.Do(func() {
 		close(m.closed)
-		_ = m.Conn.SetReadDeadline(time.Unix(1, 0))               // whoever reads ends; what was written goes out,
-		_ = m.Conn.SetWriteDeadline(time.Now().Add(goneTime / 2)) // if the other end reads: it may have closed too
+		_ = m.Conn.SetReadDeadline(time.Unix(1, 0))                   // whoever reads ends; what was written goes out,
+		_ = m.Conn.SetWriteDeadline(time.Now().Add(shutdownWait / 2)) // if the other end reads: it may have closed too
 	})
 	return nil
 }
@@ -264,12 +264,12 @@
 		s.objects[kind] = map[string]platform.Named{}
 	}
 	s.objects[kind][name] = o
-	s.tell(memoryChange{kind: kind, Named: o})
+	s.notify(memoryChange{kind: kind, Named: o})
 	return s.revision
 }
 
-// tell notes a change and wakes those that wait for one.
-func (s *memoryStore) tell(c memoryChange) {
+// notify notes a change and wakes those that wait for one.
+func (s *memoryStore) notify(c memoryChange) {
 	s.history = append(s.history, c)
 	close(s.wake)
 	s.wake = make(chan struct{})
@@ -283,11 +283,11 @@
 	o := s.objects[kind][name]
 	o.Version = s.revision
 	delete(s.objects[kind], name)
-	s.tell(memoryChange{kind: kind, Named: o, deleted: true})
+	s.notify(memoryChange{kind: kind, Named: o, deleted: true})
 }
 
-// forget drops the history so far.
-func (s *memoryStore) forget() {
+// truncateHistory drops the history so far.
+func (s *memoryStore) truncateHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history, s.lost = nil, s.revision
@@ -301,28 +301,28 @@
 	watchSilence = 600 * time.Millisecond // beyond what the watch may wait
 )
 
-// storeDoor is one instance's way to the store.
-type storeDoor struct {
-	s      *memoryStore
+// storeClient is one instance's way to the store.
+type storeClient struct {
+	store  *memoryStore
 	mu     sync.Mutex
 	silent bool // it answers nothing
 	calls  int
 }
 
-func (d *storeDoor) shut(yes bool) {
+func (d *storeClient) setSilent(yes bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.silent = yes
 }
 
-func (d *storeDoor) asked() int {
+func (d *storeClient) countCall() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls
 }
 
-// answers lets one call through, or fails it after the time that its client bears.
-func (d *storeDoor) answers(ctx context.Context, op, key string, bears time.Duration) error {
+// awaitAnswer lets one call through, or fails it after the time that its client bears.
+func (d *storeClient) awaitAnswer(ctx context.Context, op, key string, bears time.Duration) error {
 	d.mu.Lock()
 	silent := d.silent
 	d.calls++
@@ -343,14 +343,14 @@
 }
 
 // All implements platform.Kinds.
-func (d *storeDoor) All(ctx context.Context, kind string) (platform.Snapshot, error) {
-	if err := d.answers(ctx, "list", kind, callSilence); err != nil {
+func (d *storeClient) All(ctx context.Context, kind string) (platform.Snapshot, error) {
+	if err := d.awaitAnswer(ctx, "list", kind, callSilence); err != nil {
 		return platform.Snapshot{}, err
 	}
-	d.s.mu.Lock()
-	defer d.s.mu.Unlock()
-	out := platform.Snapshot{Revision: d.s.revision}
-	for _, o := range d.s.objects[kind] {
+	d.store.mu.Lock()
+	defer d.store.mu.Unlock()
+	out := platform.Snapshot{Revision: d.store.revision}
+	for _, o := range d.store.objects[kind] {
 		out.Objects = append(out.Objects, o)
 	}
 	return out, nil
@@ -358,20 +358,20 @@
 
 // Follow implements platform.Kinds. A door that is shut while a watch waits swallows its
 // answer.
-func (d *storeDoor) Follow(ctx context.Context, kind string, after platform.Version, wait time.Duration) (platform.Changes, error) {
+func (d *storeClient) Follow(ctx context.Context, kind string, after platform.Version, wait time.Duration) (platform.Changes, error) {
 	began, end := time.Now(), time.After(wait)
-	if err := d.answers(ctx, "watch", kind, wait+watchSilence); err != nil {
+	if err := d.awaitAnswer(ctx, "watch", kind, wait+watchSilence); err != nil {
 		return platform.Changes{}, err
 	}
 	for over := false; ; {
-		d.s.mu.Lock()
-		out, wake, forgotten := platform.Changes{Revision: d.s.revision}, d.s.wake, after < d.s.lost
-		for _, c := range d.s.history {
+		d.store.mu.Lock()
+		out, wake, forgotten := platform.Changes{Revision: d.store.revision}, d.store.wake, after < d.store.lost
+		for _, c := range d.store.history {
 			if c.kind == kind && c.Version > after {
 				out.Changes = append(out.Changes, platform.Change{Named: c.Named, Deleted: c.deleted})
 			}
 		}
-		d.s.mu.Unlock()
+		d.store.mu.Unlock()
 		if forgotten {
 			return platform.Changes{}, &platform.HistoryLostError{Kind: kind, After: after}
 		}
@@ -399,13 +399,13 @@
 }
 
 // Get implements platform.Kinds.
-func (d *storeDoor) Get(ctx context.Context, kind, name string) (platform.Named, error) {
-	if err := d.answers(ctx, "get", kind+"/"+name, callSilence); err != nil {
+func (d *storeClient) Get(ctx context.Context, kind, name string) (platform.Named, error) {
+	if err := d.awaitAnswer(ctx, "get", kind+"/"+name, callSilence); err != nil {
 		return platform.Named{}, err
 	}
-	d.s.mu.Lock()
-	defer d.s.mu.Unlock()
-	o, ok := d.s.objects[kind][name]
+	d.store.mu.Lock()
+	defer d.store.mu.Unlock()
+	o, ok := d.store.objects[kind][name]
 	if !ok {
 		return o, &platform.NotFoundError{Key: kind + "/" + name}
 	}
@@ -413,16 +413,16 @@
 }
 
 // Put implements platform.Kinds.
-func (d *storeDoor) Put(ctx context.Context, kind, name string, value []byte, want platform.Version) (platform.Version, error) {
-	if err := d.answers(ctx, "put", kind+"/"+name, callSilence); err != nil {
+func (d *storeClient) Put(ctx context.Context, kind, name string, value []byte, want platform.Version) (platform.Version, error) {
+	if err := d.awaitAnswer(ctx, "put", kind+"/"+name, callSilence); err != nil {
 		return 0, err
 	}
-	d.s.mu.Lock()
-	defer d.s.mu.Unlock()
-	if have := d.s.objects[kind][name].Version; have != want {
+	d.store.mu.Lock()
+	defer d.store.mu.Unlock()
+	if have := d.store.objects[kind][name].Version; have != want {
 		return 0, &platform.ConflictError{Key: kind + "/" + name, Want: want, Have: have}
 	}
-	return d.s.write(kind, name, value), nil
+	return d.store.write(kind, name, value), nil
 }
 
 // jsonCodec is the dialect of the store in memory.
@@ -436,8 +436,8 @@
 	memoryConfig   = "main"
 )
 
-// declared is a configuration as stored.
-type declared struct {
+// storedConfig is a configuration as stored.
+type storedConfig struct {
 	Version uint64
 	Keys    []string
 }
@@ -450,9 +450,9 @@
 // ConfigName implements Codec.
 func (jsonCodec) ConfigName() string { return memoryConfig }
 
-// Config implements Codec.
-func (jsonCodec) Config(value []byte) (*catalog.Config, error) {
-	var d declared
+// DecodeConfig implements Codec.
+func (jsonCodec) DecodeConfig(value []byte) (*catalog.Config, error) {
+	var d storedConfig
 	if err := json.Unmarshal(value, &d); err != nil {
 		return nil, err
 	}
@@ -460,44 +460,44 @@
 		Customers: []catalog.CustomerKeys{{Customer: catalog.Customer{Name: "one"}, Keys: d.Keys}}}), nil
 }
 
-// Target implements Codec.
-func (jsonCodec) Target(name string, value []byte) (catalog.Target, error) {
+// DecodeTarget implements Codec.
+func (jsonCodec) DecodeTarget(name string, value []byte) (catalog.Target, error) {
 	t := catalog.Target{Service: "s"}
 	err := json.Unmarshal(value, &t)
 	t.Name = name
 	return t, err
 }
 
-// NamedVersion implements Codec.
-func (jsonCodec) NamedVersion(name string, value []byte) (catalog.ModelVersion, error) {
+// DecodeNamedVersion implements Codec.
+func (jsonCodec) DecodeNamedVersion(name string, value []byte) (catalog.ModelVersion, error) {
 	v, err := strconv.ParseUint(string(value), 10, 64)
 	return catalog.ModelVersion{Model: name, Version: v}, err
 }
 
-// ReadCall implements Codec.
-func (jsonCodec) ReadCall(http.Header) (Call, error) { return Call{}, nil }
+// ParseRequest implements Codec.
+func (jsonCodec) ParseRequest(http.Header) (CallerRequest, error) { return CallerRequest{}, nil }
 
-// RefuseHeader implements Codec.
-func (jsonCodec) RefuseHeader(http.Header, string, time.Duration) {}
+// ProblemHeader implements Codec.
+func (jsonCodec) ProblemHeader(http.Header, string, time.Duration) {}
 
 // memoryFleet is some instances and their store.
 type memoryFleet struct {
-	t     *testing.T
-	net   *memoryNetwork
-	store *memoryStore
-	gates []*Gateway
-	doors []*storeDoor
+	t            *testing.T
+	net          *memoryNetwork
+	store        *memoryStore
+	gateways     []*Gateway
+	storeClients []*storeClient
 }
 
 // newMemoryFleet starts a fleet over some zones, in which all know of all.
 func newMemoryFleet(t *testing.T, n, zones int) *memoryFleet {
 	f := &memoryFleet{t: t, net: &memoryNetwork{listeners: map[string]*memoryListener{}}, store: newMemoryStore()}
-	f.store.set(memoryConfigs, memoryConfig, declared{Version: 1, Keys: []string{"key"}})
+	f.store.set(memoryConfigs, memoryConfig, storedConfig{Version: 1, Keys: []string{"key"}})
 	f.store.set(memoryTargets, "i-1", catalog.Target{Address: "10.1.0.1:1"})
 	for i := range n {
 		f.add(fmt.Sprintf("e-%03d", i), fmt.Sprintf("z%d", i%zones))
 	}
-	for f.knowing() < n {
+	for f.readyCount() < n {
 		time.Sleep(100 * time.Millisecond)
 	}
 	time.Sleep(5 * time.Second) // what was begun at the start has ended
@@ -508,43 +508,43 @@
 func (f *memoryFleet) add(name, zone string) {
 	set := (&Settings{Name: name, Zone: zone, CallerListen: name + ":1", ReadyListen: name + ":2", PeerListen: name + ":3",
 		Seeds: []string{"e-000:3", "e-001:3", "e-002:3"}, PlatformAddress: "store:1"}).WithDefaults()
-	d := &storeDoor{s: f.store}
+	d := &storeClient{store: f.store}
 	g, err := New(set, Ports{Codec: jsonCodec{}, Store: d, Listen: f.net.listen, Dial: f.net.dialFrom(name)}, &log.Logger{Handler: discard.Default})
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	g.Start()
-	f.gates, f.doors = append(f.gates, g), append(f.doors, d)
+	f.gateways, f.storeClients = append(f.gateways, g), append(f.storeClients, d)
 }
 
-// knowing is how many instances know all and are ready.
-func (f *memoryFleet) knowing() int {
+// readyCount is how many instances know all and are ready.
+func (f *memoryFleet) readyCount() int {
 	n := 0
-	for _, g := range f.gates {
-		if g.Alive() == len(f.gates) && g.Ready() {
+	for _, g := range f.gateways {
+		if g.Alive() == len(f.gateways) && g.Ready() {
 			n++
 		}
 	}
 	return n
 }
 
-// goneTime is longer than anything that is under way at the end of an instance.
-const goneTime = time.Minute
+// shutdownWait is longer than anything that is under way at the end of an instance.
+const shutdownWait = time.Minute
 
 // stop ends all instances, and returns once all that they began has ended.
 func (f *memoryFleet) stop() {
-	for _, g := range f.gates {
+	for _, g := range f.gateways {
 		g.Kill()
 	}
-	for _, g := range f.gates {
-		g.done.Wait()
+	for _, g := range f.gateways {
+		g.goroutines.Wait()
 	}
-	time.Sleep(goneTime)
+	time.Sleep(shutdownWait)
 }
 
-// call opens a connection of a caller to an instance.
-func (f *memoryFleet) call(i int) net.Conn {
-	conn, err := f.net.dialFrom("caller")(f.t.Context(), "memory", f.gates[i].CallerAddr())
+// dialCaller opens a connection of a caller to an instance.
+func (f *memoryFleet) dialCaller(i int) net.Conn {
+	conn, err := f.net.dialFrom("caller")(f.t.Context(), "memory", f.gateways[i].CallerAddr())
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -555,13 +555,13 @@
 // byRank are the indexes of the instances by their rank for a role.
 func (f *memoryFleet) byRank(role string) []int {
 	var names []string
-	for _, m := range f.gates[0].view.Load().Peers {
+	for _, m := range f.gateways[0].view.Load().Peers {
 		if m.State == member.Alive {
 			names = append(names, m.Name)
 		}
 	}
 	out := make([]int, len(names))
-	for i, g := range f.gates {
+	for i, g := range f.gateways {
 		out[rankOf(names, g.settings().Name, role)] = i
 	}
 	return out
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -49,74 +49,74 @@
 
 // Gateway is one entry instance.
 type Gateway struct {
-	set     atomic.Pointer[Settings]
-	log     log.Interface
-	now     func() time.Time
-	codec   Codec
-	store   platform.Kinds
-	engines Engines
+	currentSettings atomic.Pointer[Settings]
+	log             log.Interface
+	now             func() time.Time
+	codec           Codec
+	store           platform.Kinds
+	engines         Engines
 
 	ctx         context.Context
-	stop        context.CancelFunc
+	cancel      context.CancelFunc
 	events      chan event
 	controlDone chan struct{}
-	done        sync.WaitGroup
+	goroutines  sync.WaitGroup
 
 	view viewHolder
-	// informed is closed when a view first has all that requests need.
-	informed     chan struct{}
-	informedOnce sync.Once
-	storeOK      atomic.Bool
-	heard        atomic.Int64 // when the object store answered last, ns after began
-	began        time.Time
-	// heardPeer is when a peer answered last, ns after began.
-	heardPeer atomic.Int64
-	fresh     *fresh.Book // ages of the copies of what the object store holds
+	// initialized is closed when a view first has all that requests need.
+	initialized      chan struct{}
+	initializedOnce  sync.Once
+	storeReachable   atomic.Bool
+	lastStoreContact atomic.Int64 // when the object store answered last, ns after began
+	startedAt        time.Time
+	// lastPeerContact is when a peer answered last, ns after began.
+	lastPeerContact atomic.Int64
+	staleness       *fresh.Book // ages of the copies of what the object store holds
 	// failing has the kinds about which the store does not answer.
-	failingMu sync.Mutex
-	failing   map[string]bool
-	joining   atomic.Bool               // all members are being asked for
-	catching  atomic.Bool               // news are being taken from a peer
-	newer     atomic.Pointer[newerPeer] // a peer that knows more and was not asked yet
-	// storeDue has the targets' changes taken from the object store once, though this
+	failingMu      sync.Mutex
+	failingKinds   map[string]bool
+	syncingMembers atomic.Bool               // all members are being asked for
+	catchingUp     atomic.Bool               // news are being taken from a peer
+	aheadPeer      atomic.Pointer[aheadPeer] // a peer that knows more and was not asked yet
+	// targetsDue has the targets' changes taken from the object store once, though this
 	// instance goes by news.
-	storeDue wait.Signal
+	targetsDue wait.Signal
 	// versionsDue is the same for the named versions.
 	versionsDue wait.Signal
 	// evacuationsDue is the same for the evacuated zones.
 	evacuationsDue wait.Signal
-	// configDue wakes bringConfig.
-	configDue wait.Signal
-	takers    takers // of the configuration
-	pool      *peer.Pool
-	peers     *peer.Server
-
-	upstream *upstream
-	crashes  *crashes
+	// configDue wakes fetchConfigs.
+	configDue       wait.Signal
+	configReceivers configReceivers // of the configuration
+	pool            *peer.Pool
+	peers           *peer.Server
+
+	upstream      *upstream
+	crashDetector *crashDetector
 	// quarantine is what is known of requests under which targets crashed.
 	quarantine      *quarantine.Book
 	suspectsDue     wait.Signal
-	suspectsOut     outbox
-	tellDue         wait.Signal
-	suspectsChanged atomic.Bool  // the object store is to be told
-	compared        atomic.Int64 // when they were last compared with a peer's, ns after began
-	cold            cold.Gate    // what is sent to cold targets
-	dark            darkZones    // zones that are silent as a whole
-	ejected         *breaker.Set // targets whose requests fail
-	budgets         budgets
+	suspectsOutbox  outbox
+	outboxDue       wait.Signal
+	suspectsUnsaved atomic.Bool  // the object store is to be told
+	lastCompared    atomic.Int64 // when they were last compared with a peer's, ns after began
+	warmup          cold.Gate    // what is sent to cold targets
+	zones           zoneMonitor  // zones that are silent as a whole
+	breaker         *breaker.Set // targets whose requests fail
+	retryBudgets    retryBudgets
 	// predictor is shared by all requests.
-	predictorMu sync.Mutex
-	predictor   *place.Predictor
-	others      *loads.Heard
-	silences    *loads.Silences
-	lateSaves   *loads.LateSaves
-	seen        seenBook
-	cache       *cacheDirectory
-	rollout     *rollout
-	inHand      atomic.Int64
-	stopTimes   atomic.Pointer[drain.Times] // nil: it does not stop
-
-	successes, saves sampler // of log lines
+	predictorMu      sync.Mutex
+	predictor        *place.Predictor
+	peerLoads        *loads.Heard
+	peerSilences     *loads.Silences
+	peerPendingSaves *loads.LateSaves
+	storePositions   positionTracker
+	cache            *cacheDirectory
+	rollout          *rolloutManager
+	inFlight         atomic.Int64
+	stopTimes        atomic.Pointer[drain.Times] // nil: it does not stop
+
+	successSampler, saveSampler sampler // of log lines
 
 	callerLn, readyLn, peerLn, metricsLn net.Listener
 	callerConns                          drain.Conns
@@ -127,42 +127,42 @@
 // failure leaves nothing open.
 func New(set *Settings, ports Ports, logger log.Interface) (*Gateway, error) {
 	g := &Gateway{log: logger.WithField("instance", set.Name).WithField("zone", set.Zone), now: time.Now, codec: ports.Codec, store: ports.Store,
-		engines: ports.Engines, events: make(chan event, eventBacklog), controlDone: make(chan struct{}), storeDue: wait.NewSignal(), versionsDue: wait.NewSignal(), evacuationsDue: wait.NewSignal(), configDue: wait.NewSignal(), informed: make(chan struct{}), failing: map[string]bool{}}
-	g.set.Store(set)
-	g.began = g.now()
-	g.fresh = &fresh.Book{}
-	g.ctx, g.stop = context.WithCancel(context.Background())
-	g.upstream = newUpstreamOver(ports.Dial)
-	g.quarantine, g.suspectsDue, g.tellDue = quarantine.NewBook(), wait.NewSignal(), wait.NewSignal()
-	g.dark.g, g.dark.waits = g, map[string]map[*work]func(){}
-	g.crashes = &crashes{g: g, m: map[string]*crashCheck{}}
-	g.ejected = breaker.New(g.now)
+		engines: ports.Engines, events: make(chan event, eventQueueSize), controlDone: make(chan struct{}), targetsDue: wait.NewSignal(), versionsDue: wait.NewSignal(), evacuationsDue: wait.NewSignal(), configDue: wait.NewSignal(), initialized: make(chan struct{}), failingKinds: map[string]bool{}}
+	g.currentSettings.Store(set)
+	g.startedAt = g.now()
+	g.staleness = &fresh.Book{}
+	g.ctx, g.cancel = context.WithCancel(context.Background())
+	g.upstream = newUpstreamWithDial(ports.Dial)
+	g.quarantine, g.suspectsDue, g.outboxDue = quarantine.NewBook(), wait.NewSignal(), wait.NewSignal()
+	g.zones.g, g.zones.waiting = g, map[string]map[*attemptState]func(){}
+	g.crashDetector = &crashDetector{g: g, checks: map[string]*crashCheck{}}
+	g.breaker = breaker.New(g.now)
 	g.predictor = place.NewPredictor()
-	g.others, g.silences, g.lateSaves = loads.NewHeard(loadAge), loads.NewSilences(loadAge), loads.NewLateSaves(loadAge)
+	g.peerLoads, g.peerSilences, g.peerPendingSaves = loads.NewHeard(loadReportTTL), loads.NewSilences(loadReportTTL), loads.NewLateSaves(loadReportTTL)
 	g.cache = newCacheDirectory(g)
-	g.rollout = newRollout(g)
-	g.budgets.g = g
-	g.storeOK.Store(true) // until a call says otherwise
+	g.rollout = newRolloutManager(g)
+	g.retryBudgets.g = g
+	g.storeReachable.Store(true) // until a call says otherwise
 	if ports.Listen == nil {
 		ports.Listen = netx.Listen
 	}
 	if err := g.listen(ports.Listen, ports.Dial); err != nil {
 		g.closeListeners()
-		g.stop()
+		g.cancel()
 		return nil, err
 	}
 	return g, nil
 }
 
 // settings returns the settings in force.
-func (g *Gateway) settings() *Settings { return g.set.Load() }
+func (g *Gateway) settings() *Settings { return g.currentSettings.Load() }
 
 // Reload takes changed settings. Addresses and names stay: they belong to the
 // machine, which a running process does not change.
 func (g *Gateway) Reload(next *Settings) {
 	now := *g.settings()
 	now.Seeds, now.Retry, now.StopWithin = next.Seeds, next.Retry, next.StopWithin
-	g.set.Store(&now)
+	g.currentSettings.Store(&now)
 	g.log.WithField("seeds", now.Seeds).Info("settings reloaded")
 }
 
@@ -177,7 +177,7 @@
 
 func (g *Gateway) listen(open func(address string) (net.Listener, error), dial peer.Dial) error {
 	set := g.settings()
-	sec := peer.Security{Secret: []byte(peersKey)}
+	sec := peer.Security{Secret: []byte(peerSecret)}
 	g.pool = peer.NewPoolOver(dial, sec, g.now)
 	var err error
 	if g.peers, err = peer.NewServerOf(peerService, &peerHandler{g}, sec); err != nil {
@@ -229,11 +229,11 @@
 // PeerAddr is the peers' listener.
 func (g *Gateway) PeerAddr() string { return g.peerLn.Addr().String() }
 
-// start runs f on a goroutine that a shutdown waits for.
-func (g *Gateway) start(f func()) {
-	g.done.Add(1)
+// spawn runs f on a goroutine that a shutdown waits for.
+func (g *Gateway) spawn(f func()) {
+	g.goroutines.Add(1)
 	go func() {
-		defer g.done.Done()
+		defer g.goroutines.Done()
 		f()
 	}()
 }
@@ -246,25 +246,25 @@
 	// The first incarnation is 1, not a time of day: one that lived before under
 	// this name is refuted as soon as a peer tells of it.
 	self := member.Member{Name: set.Name, Address: g.PeerAddr(), Zone: set.Zone, Incarnation: 1}
-	c := &control{log: g.log, now: g.now, named: map[string]Named{}, members: member.New(params, self, rand.IntN), storeOK: true, rolloutWithin: set.RolloutWithin, configWithin: set.ConfigWithin,
+	c := &controlState{log: g.log, now: g.now, named: map[string]NamedVersions{}, members: member.New(params, self, rand.IntN), storeReachable: true, rolloutWithin: set.RolloutWithin, configWithin: set.ConfigWithin,
 		followsEvacuations: set.EvacuateWithin > 0,
-		targets:            newTargets(g.log, set.Name), fresh: g.fresh, settledAt: g.now().Add(coldSettle)}
-	c.targets.OnNextLife(func(n registry.NextLife) { g.nextLife(c, n) })
-	g.start(func() { g.runControl(g.ctx, c) })
-	g.followAll(g.ctx)
-	for _, f := range [...]func(context.Context){g.greetSeeds, g.askWhileCutOff, g.askAges, g.bringConfig, g.keepBootstrap, g.tidy, g.keepQuarantine, g.tellCrashes, g.tellLoads, g.rollOut, g.cache.run, g.cache.pull, g.cache.collectGarbage} {
-		g.start(func() { f(g.ctx) })
+		targets:            newTargetTable(g.log, set.Name), staleness: g.staleness, warmupAllowedAt: g.now().Add(warmupSettleTime)}
+	c.targets.OnNextLife(func(n registry.NextLife) { g.passBackoff(c, n) })
+	g.spawn(func() { g.runControl(g.ctx, c) })
+	g.watchAll(g.ctx)
+	for _, f := range [...]func(context.Context){g.joinSeeds, g.pollPeersWithoutStore, g.pollStaleness, g.fetchConfigs, g.maintainBootstrap, g.forgetGone, g.maintainQuarantine, g.reportSuspects, g.reportLoads, g.runRollouts, g.cache.run, g.cache.pullDirectory, g.cache.collectGarbage} {
+		g.spawn(func() { f(g.ctx) })
 	}
-	g.serve("callers", func() error { return g.callerSrv.Serve(g.callerLn) })
-	g.serve("readiness", func() error { return g.readySrv.Serve(g.readyLn) })
+	g.serveListener("callers", func() error { return g.callerSrv.Serve(g.callerLn) })
+	g.serveListener("readiness", func() error { return g.readySrv.Serve(g.readyLn) })
 	if g.metricsLn != nil {
-		g.serve("metrics", func() error { return g.metricsSrv.Serve(g.metricsLn) })
+		g.serveListener("metrics", func() error { return g.metricsSrv.Serve(g.metricsLn) })
 	}
-	g.serve("peers", func() error { return g.peers.Serve(g.peerLn) })
+	g.serveListener("peers", func() error { return g.peers.Serve(g.peerLn) })
 	g.log.WithField("callers", g.CallerAddr()).WithField("peers", g.PeerAddr()).WithField("store", set.PlatformAddress).Info("started")
 }
 
-func (g *Gateway) serve(what string, f func() error) {
+func (g *Gateway) serveListener(what string, f func() error) {
 	go func() {
 		if err := f(); err != nil && !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) && g.ctx.Err() == nil {
 			g.log.WithError(err).WithField("listener", what).Error("listener ended")
@@ -276,15 +276,15 @@
 // configuration and a list of targets, is not cut off, and does not stop.
 func (g *Gateway) Ready() bool {
 	v := g.view.Load()
-	return v.informed() && !v.CutOff && !v.Draining
+	return v.initialized() && !v.Isolated && !v.Draining
 }
 
-// tidyEvery is how often what is known of targets that are gone is forgotten.
-const tidyEvery = 10 * time.Second
+// forgetGoneEvery is how often what is known of targets that are gone is forgotten.
+const forgetGoneEvery = 10 * time.Second
 
-// tidy forgets targets and stores that are no more.
-func (g *Gateway) tidy(ctx context.Context) {
-	for wait.For(ctx, wait.Jitter(tidyEvery)) {
+// forgetGone forgets targets and stores that are no more.
+func (g *Gateway) forgetGone(ctx context.Context) {
+	for wait.For(ctx, wait.Jitter(forgetGoneEvery)) {
 		v := g.view.Load()
 		known := map[string]bool{}
 		for id := range v.Targets {
@@ -296,18 +296,18 @@
 			}
 		}
 		keep := func(name string) bool { return known[name] }
-		g.upstream.work.Keep(keep)
-		g.ejected.Keep(keep)
-		g.cold.Keep(keep)
+		g.upstream.inflight.Keep(keep)
+		g.breaker.Keep(keep)
+		g.warmup.Keep(keep)
 		g.predictorMu.Lock()
 		g.predictor.Keep(keep)
 		g.predictorMu.Unlock()
 	}
 }
 
-// storeAge is how long ago the object store answered last.
-func (g *Gateway) storeAge() time.Duration {
-	return g.now().Sub(g.began) - time.Duration(g.heard.Load())
+// sinceStoreContact is how long ago the object store answered last.
+func (g *Gateway) sinceStoreContact() time.Duration {
+	return g.now().Sub(g.startedAt) - time.Duration(g.lastStoreContact.Load())
 }
 
 // Alive is the number of live instances known of, this one included.
@@ -323,21 +323,21 @@
 func (g *Gateway) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	v := g.view.Load()
 	metric.SetGauge("shedhoist_config_version", float64(g.configVersion()))
-	metric.SetGauge("shedhoist_config_version_heard", float64(v.ConfigHeard))
+	metric.SetGauge("shedhoist_config_version_heard", float64(v.NewestReportedConfig))
 	metric.SetGauge("shedhoist_config_bytes", float64(v.ConfigBytes))
-	if age, known := g.fresh.Age(fresh.Config, g.now()); known {
+	if age, known := g.staleness.Age(fresh.Config, g.now()); known {
 		metric.SetGauge("shedhoist_config_age_seconds", age.Seconds())
 	}
 	metric.SetGauge("shedhoist_targets", float64(len(v.Targets)))
 	metric.SetGauge("shedhoist_zones_evacuated", float64(len(v.EvacuatedZones)))
 	metric.SetGauge("shedhoist_instances_alive", float64(len(v.Alive)))
-	metric.SetGauge("shedhoist_store_reached", asNumber(v.StoreOK))
-	metric.SetGauge("shedhoist_ready", asNumber(g.Ready()))
-	metric.SetGauge("shedhoist_requests_in_hand", float64(g.inHand.Load()))
+	metric.SetGauge("shedhoist_store_reached", boolGauge(v.StoreReachable))
+	metric.SetGauge("shedhoist_ready", boolGauge(g.Ready()))
+	metric.SetGauge("shedhoist_requests_in_hand", float64(g.inFlight.Load()))
 	metric.Write(w)
 }
 
-func asNumber(b bool) float64 {
+func boolGauge(b bool) float64 {
 	if b {
 		return 1
 	}
@@ -353,7 +353,7 @@
 
 // Kill ends everything at once and tells nobody.
 func (g *Gateway) Kill() {
-	g.stop()
+	g.cancel()
 	g.callerSrv.Close()
 	g.readySrv.Close()
 	g.metricsSrv.Close()
--- a/internal/gateway/idle_conns_test.go
+++ b/internal/gateway/idle_conns_test.go
@@ -49,19 +49,19 @@
 	is := is.New(t)
 	u := newUpstream()
 	idle := func(service string) time.Duration {
-		return u.keptClient(service).Transport.(*http.Transport).IdleConnTimeout
+		return u.keepAliveClient(service).Transport.(*http.Transport).IdleConnTimeout
 	}
-	is.Equal(idle("a"), keptIdle)
-	u.learnKept("a", 0)
-	is.Equal(idle("a"), keptIdle)
+	is.Equal(idle("a"), minTargetIdleTimeout)
+	u.learnKeepAlive("a", 0)
+	is.Equal(idle("a"), minTargetIdleTimeout)
 	for _, said := range []time.Duration{time.Hour, 10 * time.Second, 5 * time.Second, 30 * time.Second} {
-		u.learnKept("a", said)
-		is.True(idle("a") <= min(said-keptMargin, mostKept))
+		u.learnKeepAlive("a", said)
+		is.True(idle("a") <= min(said-idleCloseMargin, maxTargetIdleTimeout))
 	}
 	is.True(idle("a") > 3*time.Second)
-	is.Equal(idle("b"), keptIdle)
-	u.learnKept("a", time.Second)
-	is.Equal(idle("a"), keptIdle)
-	u.learnKept("b", time.Second)
-	is.Equal(u.keptClient("a"), u.keptClient("b")) // one for equal times
+	is.Equal(idle("b"), minTargetIdleTimeout)
+	u.learnKeepAlive("a", time.Second)
+	is.Equal(idle("a"), minTargetIdleTimeout)
+	u.learnKeepAlive("b", time.Second)
+	is.Equal(u.keepAliveClient("a"), u.keepAliveClient("b")) // one for equal times
 }
--- a/internal/gateway/lease.go
+++ b/internal/gateway/lease.go
@@ -25,42 +25,42 @@
 	Renewals uint64 `json:"renewals"`
 }
 
-// fence keeps orders of a new holder away from targets to which the one before
+// handoverGuard keeps orders of a new holder away from targets to which the one before
 // may have sent some lately.
-type fence struct {
+type handoverGuard struct {
 	until time.Time
 	all   bool            // it is not known which targets those are
 	ids   map[string]bool // those that it closed
 }
 
 // blocks says whether a target must not get orders yet.
-func (f fence) blocks(id string, now time.Time) bool {
+func (f handoverGuard) blocks(id string, now time.Time) bool {
 	return now.Before(f.until) && (f.all || f.ids[id])
 }
 
-// fenceAfter builds the fence that a hold of another leaves: its last order was
+// newHandoverGuard builds the fence that a hold of another leaves: its last order was
 // sent no later than lastAct. What it did is known by its news, which it tells
 // before it gives an order.
-func fenceAfter(holder string, lastAct time.Time, gap time.Duration, news RolloutNews) fence {
-	f := fence{until: lastAct.Add(gap), all: news.Holder != holder, ids: map[string]bool{}}
-	for _, id := range news.Closing {
+func newHandoverGuard(holder string, lastAct time.Time, gap time.Duration, news RolloutUpdate) handoverGuard {
+	f := handoverGuard{until: lastAct.Add(gap), all: news.Holder != holder, ids: map[string]bool{}}
+	for _, id := range news.Cordoned {
 		f.ids[id] = true
 	}
-	for _, a := range news.Arrived {
+	for _, a := range news.Loaded {
 		f.ids[a.Target] = true
 	}
 	return f
 }
 
-// keepLease takes or renews the lease if that is due. One call at a time: only
+// maintainLease takes or renews the lease if that is due. One call at a time: only
 // the loop makes it.
-func (o *rollout) keepLease(ctx context.Context) {
+func (o *rolloutManager) maintainLease(ctx context.Context) {
 	o.mu.Lock()
 	step, version := o.lease.Next(o.g.now())
 	o.mu.Unlock()
 	switch step {
 	case order.Read:
-		if !o.watched.Load() && o.g.now().Sub(o.renewed) >= leasePulse {
+		if !o.leaseWatched.Load() && o.g.now().Sub(o.lastLeaseTry) >= leaseRenewInterval {
 			o.readLease(ctx)
 		}
 	case order.Write:
@@ -68,9 +68,9 @@
 	}
 }
 
-// holdFor returns the fencing token for an order that is due. Where the lease is
+// awaitLease returns the fencing token for an order that is due. Where the lease is
 // about to lapse it waits for the loop to renew it.
-func (o *rollout) holdFor(ctx context.Context) (token uint64, held bool) {
+func (o *rolloutManager) awaitLease(ctx context.Context) (token uint64, held bool) {
 	for range renewTries {
 		o.mu.Lock()
 		token, held = o.lease.Held(o.g.now())
@@ -78,7 +78,7 @@
 		if held {
 			return token, true
 		}
-		o.wanted.Store(true)
+		o.renewWanted.Store(true)
 		if !wait.For(ctx, rolloutTick/2) {
 			break
 		}
@@ -86,19 +86,19 @@
 	return 0, false
 }
 
-func (o *rollout) readLease(ctx context.Context) {
-	o.renewed = o.g.now()
+func (o *rolloutManager) readLease(ctx context.Context) {
+	o.lastLeaseTry = o.g.now()
 	obj, err := o.g.store.Get(ctx, leaseKind, leaseName)
 	var missing *platform.NotFoundError
 	if err != nil && !errors.As(err, &missing) {
 		o.g.log.WithError(err).Warn("lease not read")
 		return
 	}
-	o.saw(obj)
+	o.recordLease(obj)
 }
 
-// saw takes the lease's object as the store told it.
-func (o *rollout) saw(obj platform.Named) {
+// recordLease takes the lease's object as the store told it.
+func (o *rolloutManager) recordLease(obj platform.Named) {
 	var v leaseValue
 	if obj.Version != 0 {
 		if err := json.Unmarshal(obj.Value, &v); err != nil {
@@ -111,39 +111,39 @@
 	o.lease.Saw(v.Holder, uint64(obj.Version), o.g.now())
 }
 
-func (o *rollout) writeLease(ctx context.Context, want platform.Version) {
+func (o *rolloutManager) writeLease(ctx context.Context, want platform.Version) {
 	o.renewals++
 	data, err := json.Marshal(leaseValue{Holder: o.g.settings().Name, Renewals: o.renewals})
 	if err != nil {
 		panic(err) // a string and a number always marshal
 	}
 	start := o.g.now()
-	o.renewed = start
+	o.lastLeaseTry = start
 	before, changed := o.lastHolder()
 	version, err := o.g.store.Put(ctx, leaseKind, leaseName, data, want)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if err != nil {
 		o.lease.Failed()
-		o.watched.Store(false) // read what came of it
+		o.leaseWatched.Store(false) // read what came of it
 		o.g.log.WithError(err).Warn("lease not written")
 		return
 	}
 	o.lease.Wrote(uint64(version), start)
 	if o.lease.Fresh() {
-		o.planner = order.NewPlanner(loadTime)
-		o.arrived, o.token, o.seq, o.fenced = nil, uint64(version), 0, fence{}
+		o.planner = order.NewPlanner(loadTimeout)
+		o.loaded, o.fencingToken, o.updateSeq, o.guard = nil, uint64(version), 0, handoverGuard{}
 		if before != "" && before != o.g.settings().Name {
 			lastAct := changed.Add(leaseParams.Term - leaseParams.Margin)
-			o.fenced = fenceAfter(before, lastAct, o.g.settings().LeaseGap, o.g.view.Load().Rollout)
+			o.guard = newHandoverGuard(before, lastAct, o.g.settings().LeaseGap, o.g.view.Load().Rollout)
 		}
-		o.g.log.WithField("token", uint64(version)).WithField("before", before).WithField("fenced", len(o.fenced.ids)).
-			WithField("fence_all", o.fenced.all).WithField("fence_ms", max(o.fenced.until.Sub(o.g.now()), 0).Milliseconds()).Info("lease for orders taken")
+		o.g.log.WithField("token", uint64(version)).WithField("before", before).WithField("fenced", len(o.guard.ids)).
+			WithField("fence_all", o.guard.all).WithField("fence_ms", max(o.guard.until.Sub(o.g.now()), 0).Milliseconds()).Info("lease for orders taken")
 	}
 }
 
 // lastHolder is who held the lease as last seen, and since when that word stands.
-func (o *rollout) lastHolder() (holder string, since time.Time) {
+func (o *rolloutManager) lastHolder() (holder string, since time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.lease.Holder()
@@ -152,25 +152,25 @@
 // watchLease tells the lease of others' writes, so that a contender knows how
 // long it has not been renewed. It reads the lease once, and watches it while a rollout is
 // under way.
-func (o *rollout) watchLease(ctx context.Context) {
+func (o *rolloutManager) watchLease(ctx context.Context) {
 	at, failures := platform.Version(0), 0
 	for ctx.Err() == nil {
-		err := o.watchOnce(ctx, &at)
-		o.watched.Store(err == nil)
+		err := o.watchLeaseOnce(ctx, &at)
+		o.leaseWatched.Store(err == nil)
 		if err == nil {
 			failures = 0
 			continue
 		}
 		at = 0 // list it anew: an own write may have failed meanwhile
 		failures++
-		wait.For(ctx, pause(failures))
+		wait.For(ctx, retryPause(failures))
 	}
 }
 
-func (o *rollout) watchOnce(ctx context.Context, at *platform.Version) error {
+func (o *rolloutManager) watchLeaseOnce(ctx context.Context, at *platform.Version) error {
 	v := o.g.view.Load()
-	contends := !o.g.joins() && rankOf(v.Attached, o.g.settings().Name, leaseName) < contenders
-	if !contends || *at != 0 && len(v.Behind) == 0 {
+	contends := !o.g.isJoining() && rankOf(v.Attached, o.g.settings().Name, leaseName) < maxContenders
+	if !contends || *at != 0 && len(v.Outdated) == 0 {
 		wait.For(ctx, rolloutTick) // the lease changes only during rollouts
 		return nil
 	}
@@ -180,15 +180,15 @@
 			return err
 		}
 		if len(s.Objects) == 0 {
-			o.saw(platform.Named{})
+			o.recordLease(platform.Named{})
 		}
 		for _, obj := range s.Objects {
-			o.saw(obj)
+			o.recordLease(obj)
 		}
 		*at = s.Revision
 		return nil
 	}
-	c, err := o.g.store.Follow(ctx, leaseKind, *at, leaseWatch)
+	c, err := o.g.store.Follow(ctx, leaseKind, *at, leaseWatchTimeout)
 	var lost *platform.HistoryLostError
 	if errors.As(err, &lost) {
 		*at = 0
@@ -199,7 +199,7 @@
 	}
 	for _, ch := range c.Changes {
 		if !ch.Deleted {
-			o.saw(ch.Named)
+			o.recordLease(ch.Named)
 		}
 	}
 	*at = max(*at, c.Revision)
--- a/internal/gateway/lease_test.go
+++ b/internal/gateway/lease_test.go
@@ -13,14 +13,14 @@
 	is := is.New(t)
 	last, gap := time.Unix(100, 0), 3*time.Second
 	early, late := last.Add(gap-time.Millisecond), last.Add(gap)
-	news := RolloutNews{Holder: "old", Closing: []string{"a"}, Arrived: []Arrival{{Target: "b"}}}
-	known := fenceAfter("old", last, gap, news)
+	news := RolloutUpdate{Holder: "old", Cordoned: []string{"a"}, Loaded: []LoadedTarget{{Target: "b"}}}
+	known := newHandoverGuard("old", last, gap, news)
 	is.True(known.blocks("a", early))
 	is.True(known.blocks("b", early))
 	is.True(!known.blocks("c", early))
 	is.True(!known.blocks("a", late))
-	unknown := fenceAfter("another", last, gap, news)
+	unknown := newHandoverGuard("another", last, gap, news)
 	is.True(unknown.blocks("c", early))
 	is.True(!unknown.blocks("c", late))
-	is.True(!fence{}.blocks("a", early))
+	is.True(!handoverGuard{}.blocks("a", early))
 }
--- a/internal/gateway/leaving.go
+++ b/internal/gateway/leaving.go
@@ -14,22 +14,22 @@
 // waits for the object store. Each instance goes by the answers that it gets, and instances
 // tell one another, so that those that got none do not send more.
 
-// mostLeavers is how many lives one message names, some 30 bytes each. Where a whole zone leaves
+// maxLeavingTargets is how many lives one message names, some 30 bytes each. Where a whole zone leaves
 // while the object store is away, the next messages name the others.
-const mostLeavers = 16
+const maxLeavingTargets = 16
 
-// Leavers are lives of targets that have said that they leave.
-type Leavers []registry.Life
+// LeavingTargets are lives of targets that have said that they leave.
+type LeavingTargets []registry.Life
 
 // UnmarshalCBOR implements cbor.Unmarshaler. What can't be read is left out, and takes nothing
 // else of its message along.
-func (l *Leavers) UnmarshalCBOR(data []byte) error {
+func (l *LeavingTargets) UnmarshalCBOR(data []byte) error {
 	*l = nil
 	var words []cbor.RawMessage
 	if cbor.Unmarshal(data, &words) != nil {
 		return nil
 	}
-	for _, word := range words[:min(len(words), mostLeavers)] {
+	for _, word := range words[:min(len(words), maxLeavingTargets)] {
 		var life registry.Life
 		if cbor.Unmarshal(word, &life) == nil && life.Name != "" && life.Start >= 0 {
 			*l = append(*l, life)
@@ -38,87 +38,87 @@
 	return nil
 }
 
-// leavingWords counts what targets said of leaving that their entries don't say, and what of it
+// leavingReports counts what targets said of leaving that their entries don't say, and what of it
 // this instance heard itself.
-type leavingWords struct {
-	heard, own uint64
-	turns      map[string]int // by peer, see tellLeavingTo
+type leavingReports struct {
+	received, observed uint64
+	nextIndex          map[string]int // by peer, see reportLeavingTo
 }
 
-// followEvery is how often the answers are followed of a target that is known to leave: a next
+// leavingRefreshInterval is how often the answers are followed of a target that is known to leave: a next
 // life may give them.
-const followEvery = 200 * time.Millisecond
+const leavingRefreshInterval = 200 * time.Millisecond
 
-// hearLeaving takes a target's own word that it leaves. All its answers give it; the first one
+// noteLeaving takes a target's own word that it leaves. All its answers give it; the first one
 // changes the belief.
-func (g *Gateway) hearLeaving(t *catalog.Target, by registry.Teller) {
+func (g *Gateway) noteLeaving(t *catalog.Target, by registry.Teller) {
 	known := g.view.Load().Targets[t.ID]
-	if known != nil && known.SaidLeaving && !known.SaidInherited && by.Sent.Sub(known.SaidTo) < followEvery {
+	if known != nil && known.SaidLeaving && !known.SaidInherited && by.Sent.Sub(known.SaidTo) < leavingRefreshInterval {
 		return
 	}
-	g.send(targetLeaves{life: registry.LifeOf(t), by: by})
+	g.sendEvent(targetLeaving{incarnation: registry.LifeOf(t), source: by})
 }
 
-// targetLeaves brings a target's own word that it leaves.
-type targetLeaves struct {
-	life registry.Life
-	by   registry.Teller
+// targetLeaving brings a target's own word that it leaves.
+type targetLeaving struct {
+	incarnation registry.Life
+	source      registry.Teller
 }
 
-func (e targetLeaves) apply(c *control) {
-	if c.targets.Leaves(e.life, e.by, c.now()) {
-		c.leaving.heard++
-		c.leaving.own++
-		c.leaving.turns = nil
+func (e targetLeaving) apply(c *controlState) {
+	if c.targets.Leaves(e.incarnation, e.source, c.now()) {
+		c.leavingReports.received++
+		c.leavingReports.observed++
+		c.leavingReports.nextIndex = nil
 	}
 }
 
-// nextLife takes that a target has started again, with the rest that its new life has asked for
+// passBackoff takes that a target has started again, with the rest that its new life has asked for
 // already.
-func (g *Gateway) nextLife(c *control, n registry.NextLife) {
+func (g *Gateway) passBackoff(c *controlState, n registry.NextLife) {
 	now := c.now()
-	g.ejected.Pass(n.Before, n.ID, registry.InheritedMost, func(sent time.Time) bool { return registry.Answered(n.Start, sent, now) })
+	g.breaker.Pass(n.Before, n.ID, registry.InheritedMost, func(sent time.Time) bool { return registry.Answered(n.Start, sent, now) })
 }
 
-// leaversTold brings the same by a peer.
-type leaversTold struct {
-	lives Leavers
-	from  member.Member
+// leavingReceived brings the same by a peer.
+type leavingReceived struct {
+	targets LeavingTargets
+	from    member.Member
 }
 
-func (e leaversTold) apply(c *control) { c.hearLeaving(e.lives, e.from) }
+func (e leavingReceived) apply(c *controlState) { c.receiveLeaving(e.targets, e.from) }
 
-// hearLeaving takes a peer's word of targets that leave. That of one which is not in the list is
+// noteLeaving takes a peer's word of targets that leave. That of one which is not in the list is
 // kept, since peers may know the list earlier.
-func (c *control) hearLeaving(lives Leavers, from member.Member) {
+func (c *controlState) receiveLeaving(lives LeavingTargets, from member.Member) {
 	for _, l := range lives {
 		if c.targets.Leaves(l, registry.Teller{From: string(fromPeer), By: from.Name}, c.now()) {
-			c.leaving.heard++
-			c.leaving.turns = nil
+			c.leavingReports.received++
+			c.leavingReports.nextIndex = nil
 		}
 	}
 }
 
-// tellLeaving is tellLeavingTo for a message to several peers, or to one whose name is not known.
-func (c *control) tellLeaving() Leavers { return c.tellLeavingTo("") }
+// reportLeaving is reportLeavingTo for a message to several peers, or to one whose name is not known.
+func (c *controlState) reportLeaving() LeavingTargets { return c.reportLeavingTo("") }
 
-// tellLeavingTo names lives that have said that they leave to a peer, as long as their entries
+// reportLeavingTo names lives that have said that they leave to a peer, as long as their entries
 // don't. Of more than fit into a message those heard of last go first, and each message to the
 // peer goes on where the one before ended.
-func (c *control) tellLeavingTo(peer string) Leavers {
+func (c *controlState) reportLeavingTo(peer string) LeavingTargets {
 	all := c.targets.SaidOnly()
-	if len(all) <= mostLeavers {
-		c.leaving.turns = nil
+	if len(all) <= maxLeavingTargets {
+		c.leavingReports.nextIndex = nil
 		return all
 	}
-	if c.leaving.turns == nil {
-		c.leaving.turns = map[string]int{}
+	if c.leavingReports.nextIndex == nil {
+		c.leavingReports.nextIndex = map[string]int{}
 	}
-	from := c.leaving.turns[peer]
+	from := c.leavingReports.nextIndex[peer]
 	if from >= len(all) {
 		from = 0
 	}
-	end := min(from+mostLeavers, len(all))
-	c.leaving.turns[peer] = end
+	end := min(from+maxLeavingTargets, len(all))
+	c.leavingReports.nextIndex[peer] = end
 	return all[from:end]
 }
--- a/internal/gateway/leaving_hello_test.go
+++ b/internal/gateway/leaving_hello_test.go
@@ -12,8 +12,8 @@
 // itself does not hear: the probes of an instance and its answers to probes name it.
 func TestLeavingIsToldBothWays(t *testing.T) {
 	is := is.New(t)
-	c, lives := leaverControl(3)
-	targetLeaves{life: lives[1]}.apply(c)
-	is.Equal(c.greeting(false).Leaving, Leavers{lives[1]})
-	is.Equal(c.welcome(&Hello{From: member.Member{Name: "e-1"}}).Leaving, Leavers{lives[1]})
+	c, lives := controlWithLeaving(3)
+	targetLeaving{incarnation: lives[1]}.apply(c)
+	is.Equal(c.newHello(false).Leaving, LeavingTargets{lives[1]})
+	is.Equal(c.replyHello(&HelloRequest{From: member.Member{Name: "e-1"}}).Leaving, LeavingTargets{lives[1]})
 }
--- a/internal/gateway/leaving_incarnations_test.go
+++ b/internal/gateway/leaving_incarnations_test.go
@@ -37,36 +37,36 @@
 				is := is.New(t)
 				f := newLeavingFleet(t, 3, 3)
 				defer f.end()
-				f.silence(true)
-				s := f.speakers[0]
+				f.silenceStore(true)
+				s := f.leavingTargets[0]
 				if c.before {
-					s.leave()
+					s.startLeaving()
 				}
-				f.press(f.all(), pathSafe, 5*time.Millisecond, time.Second)
+				f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
 				is.True(s.arrived("") > 0)
 				time.Sleep(c.wait)
-				s.end()
+				s.stop()
 				time.Sleep(c.wait)
 				if c.lapses {
 					f.store.remove(memoryTargets, s.name)
 				}
-				s.begin()
+				s.start()
 				if c.new {
-					s.leave()
+					s.startLeaving()
 				}
-				f.press(f.all(), pathSafe, 5*time.Millisecond, 2*time.Second)
+				f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, 2*time.Second)
 				s.mu.Lock()
-				is.Equal(len(s.told) > 0, c.new)
+				is.Equal(len(s.firstLeavingResponse) > 0, c.new)
 				s.mu.Unlock()
-				f.silence(false)
-				f.press(f.all(), pathSafe, 5*time.Millisecond, 3*leaveBound)
-				if late := s.late(leaveBound, true); len(late) > 0 {
+				f.silenceStore(false)
+				f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, 3*leavingBound)
+				if late := s.late(leavingBound, true); len(late) > 0 {
 					t.Errorf("requests were sent to it after it had said that it leaves: %v", late)
 				}
 				if !c.new {
-					s.forget()
-					f.press(f.all(), pathSafe, 5*time.Millisecond, time.Second)
-					for _, g := range f.gates {
+					s.resetCounts()
+					f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
+					for _, g := range f.gateways {
 						is.True(s.from(g.settings().Name) > 0)
 					}
 				}
@@ -82,10 +82,10 @@
 		every = 20 * time.Millisecond
 		rest  = 20 * time.Second
 	)
-	asks := func(time.Duration, int, string) restReply {
-		return restReply{status: http.StatusServiceUnavailable, notRun: true, rest: rest}
+	asks := func(time.Duration, int, string) scriptedResponse {
+		return scriptedResponse{status: http.StatusServiceUnavailable, notRun: true, backoff: rest}
 	}
-	for name, scripts := range map[string][2]restScript{ // of the life before, and of the new one
+	for name, scripts := range map[string][2]responseScript{ // of the life before, and of the new one
 		"the new life asks for it":     {served, asks},
 		"the life before asked for it": {asks, served},
 	} {
@@ -93,23 +93,23 @@
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				f := newRestFleet(t, 1, scripts[0], served)
+				f := newBackoffFleet(t, 1, scripts[0], served)
 				defer f.end()
-				f.silence(true)
-				m := f.asking[0]
-				f.press(pathSafe, every, time.Second)
-				is.True(len(m.reachedAll()) > 0)
+				f.silenceStore(true)
+				m := f.loadGenerators[0]
+				f.sendLoad(pathSafe, every, time.Second)
+				is.True(len(m.receivedAll()) > 0)
 				time.Sleep(100 * time.Millisecond)
-				m.end()
+				m.stop()
 				time.Sleep(100 * time.Millisecond)
 				m.script = scripts[1]
 				m.start()
-				f.press(pathSafe, every, 2*time.Second)
-				f.silence(false)
-				f.press(pathSafe, every, rest/2)
+				f.sendLoad(pathSafe, every, 2*time.Second)
+				f.silenceStore(false)
+				f.sendLoad(pathSafe, every, rest/2)
 				f.check()
-				if len(m.wishes()) == 0 {
-					is.True(len(m.reachedAll()) > 50) // it is used as before
+				if len(m.backoffPeriods()) == 0 {
+					is.True(len(m.receivedAll()) > 50) // it is used as before
 				}
 			})
 		})
@@ -123,12 +123,12 @@
 	for sent, want := range map[int64]string{15_000: "i-1@10000", 25_000: "i-1@20000"} {
 		is := is.New(t)
 		clock := func() time.Time { return time.UnixMilli(30_000) }
-		g := &Gateway{now: clock, ejected: breaker.New(clock), log: &log.Logger{Handler: discard.Default}}
+		g := &Gateway{now: clock, breaker: breaker.New(clock), log: &log.Logger{Handler: discard.Default}}
 		meant := catalog.Target{Name: "i-1", Start: before}.Identify()
 		listed := catalog.Target{Name: "i-1", Start: next}.Identify()
 		g.view.Store(&View{Targets: map[string]*catalog.Target{listed.ID: &listed}})
-		g.hearWord(&meant, Word{Rest: time.Second}, registry.Teller{From: string(fromAnswer), Sent: time.UnixMilli(sent)})
-		is.Equal(g.ejected.Asked(), map[string]time.Time{want: time.UnixMilli(31_000)})
+		g.applyNotice(&meant, Notice{Backoff: time.Second}, registry.Teller{From: string(fromAnswer), Sent: time.UnixMilli(sent)})
+		is.Equal(g.breaker.Asked(), map[string]time.Time{want: time.UnixMilli(31_000)})
 	}
 }
 
@@ -138,7 +138,7 @@
 	for name, own := range map[string]func(sent time.Time) registry.Teller{
 		"in a report": func(time.Time) registry.Teller { return registry.Teller{From: string(fromReport)} },
 		"in an answer": func(sent time.Time) registry.Teller {
-			return registry.Teller{From: string(fromAnswer), Sent: sent.Add(followEvery / 4)}
+			return registry.Teller{From: string(fromAnswer), Sent: sent.Add(leavingRefreshInterval / 4)}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -146,14 +146,14 @@
 				is := is.New(t)
 				f := newLeavingFleet(t, 1, 1)
 				defer f.end()
-				g, s := f.gates[0], f.speakers[0]
-				next := catalog.Target{Name: s.name, Start: s.born}.Identify()
-				before := catalog.Target{Name: s.name, Start: s.born - 1000}.Identify()
+				g, s := f.gateways[0], f.leavingTargets[0]
+				next := catalog.Target{Name: s.name, Start: s.startedAt}.Identify()
+				before := catalog.Target{Name: s.name, Start: s.startedAt - 1000}.Identify()
 				sent := time.Now()
-				g.hearWord(&before, Word{Leaving: true}, registry.Teller{From: string(fromAnswer), Sent: sent})
+				g.applyNotice(&before, Notice{Leaving: true}, registry.Teller{From: string(fromAnswer), Sent: sent})
 				synctest.Wait()
 				is.True(g.view.Load().Targets[next.ID].SaidInherited)
-				g.hearWord(&next, Word{Leaving: true}, own(sent))
+				g.applyNotice(&next, Notice{Leaving: true}, own(sent))
 				time.Sleep(registry.InheritedMost + 5*time.Second)
 				is.True(g.view.Load().Targets[next.ID].SaidLeaving)
 			})
@@ -167,10 +167,10 @@
 	const before, next = 10_000, 20_000 // starts, Unix ms
 	is := is.New(t)
 	clock := func() time.Time { return time.UnixMilli(30_000) }
-	g := &Gateway{now: clock, ejected: breaker.New(clock), log: &log.Logger{Handler: discard.Default}}
+	g := &Gateway{now: clock, breaker: breaker.New(clock), log: &log.Logger{Handler: discard.Default}}
 	meant := catalog.Target{Name: "i-1", Start: before}.Identify()
 	listed := catalog.Target{Name: "i-1", Start: next}.Identify()
 	g.view.Store(&View{Targets: map[string]*catalog.Target{listed.ID: &listed}})
-	g.hearWord(&meant, Word{Rest: time.Hour}, registry.Teller{From: string(fromAnswer), Sent: time.UnixMilli(25_000)})
-	is.Equal(g.ejected.Asked(), map[string]time.Time{listed.ID: clock().Add(registry.InheritedMost)})
+	g.applyNotice(&meant, Notice{Backoff: time.Hour}, registry.Teller{From: string(fromAnswer), Sent: time.UnixMilli(25_000)})
+	is.Equal(g.breaker.Asked(), map[string]time.Time{listed.ID: clock().Add(registry.InheritedMost)})
 }
--- a/internal/gateway/leaving_pages_test.go
+++ b/internal/gateway/leaving_pages_test.go
@@ -11,20 +11,20 @@
 
 // TestEachPeerHearsOfAllLeavers guards against peers that are told in turn and each hear of a part of the lives that leave.
 func TestEachPeerHearsOfAllLeavers(t *testing.T) {
-	const leavers, messages = 5 * mostLeavers / 2, 3
-	tell := map[string]func(c *control, peer string) Leavers{
-		"answers": func(c *control, peer string) Leavers {
-			return c.welcome(&Hello{From: member.Member{Name: peer}}).Leaving
+	const leavers, messages = 5 * maxLeavingTargets / 2, 3
+	tell := map[string]func(c *controlState, peer string) LeavingTargets{
+		"answers": func(c *controlState, peer string) LeavingTargets {
+			return c.replyHello(&HelloRequest{From: member.Member{Name: peer}}).Leaving
 		},
-		"probes": func(c *control, peer string) Leavers { return c.greetingTo(peer, false).Leaving },
+		"probes": func(c *controlState, peer string) LeavingTargets { return c.newHelloTo(peer, false).Leaving },
 	}
 	for name, tell := range tell {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			peers := []string{"e-1", "e-2", "e-3"}
-			c, lives := leaverControl(600)
+			c, lives := controlWithLeaving(600)
 			for _, l := range lives[:leavers] {
-				targetLeaves{life: l}.apply(c)
+				targetLeaving{incarnation: l}.apply(c)
 			}
 			told := map[string]map[registry.Life]bool{}
 			for range messages {
@@ -40,7 +40,7 @@
 			for _, peer := range peers {
 				is.Equal(len(told[peer]), leavers)
 			}
-			targetLeaves{life: lives[500]}.apply(c)
+			targetLeaving{incarnation: lives[500]}.apply(c)
 			for _, peer := range peers { // what is new goes first to each
 				is.Equal(tell(c, peer)[0], lives[500])
 			}
--- a/internal/gateway/leaving_reports_test.go
+++ b/internal/gateway/leaving_reports_test.go
@@ -16,8 +16,8 @@
 	"github.com/shedhoist/shedhoist/internal/registry"
 )
 
-// leaverControl is an instance that knows n targets.
-func leaverControl(n int) (*control, []registry.Life) {
+// controlWithLeaving is an instance that knows n targets.
+func controlWithLeaving(n int) (*controlState, []registry.Life) {
 	c := controlOf("e-0", "z0")
 	targets := targetsOf(n, 3)
 	c.targets.List(registryRevision, targets, nil, at0)
@@ -31,28 +31,28 @@
 // registryRevision is later than the entries of targetsOf.
 const registryRevision = 10_000
 
-func toldBy(name string) member.Member { return member.Member{Name: name} }
+func reportsUntilRepeat(name string) member.Member { return member.Member{Name: name} }
 
 // TestLeavingToldInTurns guards against messages that grow with the targets that leave, and
 // against words that are never told.
 func TestLeavingToldInTurns(t *testing.T) {
 	is := is.New(t)
-	c, lives := leaverControl(600)
-	is.Equal(len(c.tellLeaving()), 0)
+	c, lives := controlWithLeaving(600)
+	is.Equal(len(c.reportLeaving()), 0)
 	for _, l := range lives[:40] {
-		targetLeaves{life: l}.apply(c)
+		targetLeaving{incarnation: l}.apply(c)
 	}
 	told := map[registry.Life]bool{}
 	for range 3 {
-		words := c.tellLeaving()
-		is.True(len(words) <= mostLeavers)
+		words := c.reportLeaving()
+		is.True(len(words) <= maxLeavingTargets)
 		for _, l := range words {
 			told[l] = true
 		}
 	}
 	is.Equal(len(told), 40)
-	targetLeaves{life: lives[500]}.apply(c)
-	is.Equal(c.tellLeaving()[0], lives[500]) // what is new goes first
+	targetLeaving{incarnation: lives[500]}.apply(c)
+	is.Equal(c.reportLeaving()[0], lives[500]) // what is new goes first
 }
 
 // TestLeavingGoesRoundOnce guards against words that go to and fro: what a peer tells is news
@@ -60,20 +60,20 @@
 func TestLeavingGoesRoundOnce(t *testing.T) {
 	is := is.New(t)
 	lines := memory.New()
-	a, lives := leaverControl(3)
-	b, _ := leaverControl(3)
+	a, lives := controlWithLeaving(3)
+	b, _ := controlWithLeaving(3)
 	b.targets = registry.New(registry.Options{Log: &log.Logger{Handler: lines, Level: log.InfoLevel}, Rank: func(string) uint64 { return 1 }})
 	b.targets.List(registryRevision, targetsOf(3, 3), nil, at0)
-	targetLeaves{life: lives[1], by: registry.Teller{From: string(fromAnswer), By: "r-1"}}.apply(a)
-	is.Equal(a.leaving, leavingWords{heard: 1, own: 1})
+	targetLeaving{incarnation: lives[1], source: registry.Teller{From: string(fromAnswer), By: "r-1"}}.apply(a)
+	is.Equal(a.leavingReports, leavingReports{received: 1, observed: 1})
 	written := len(lines.Entries)
 	for range 5 {
-		b.hearLeaving(a.tellLeaving(), toldBy("e-a"))
-		a.hearLeaving(b.tellLeaving(), toldBy("e-b"))
+		b.receiveLeaving(a.reportLeaving(), reportsUntilRepeat("e-a"))
+		a.receiveLeaving(b.reportLeaving(), reportsUntilRepeat("e-b"))
 	}
-	is.Equal(a.leaving.heard, uint64(1))
-	is.Equal(b.leaving.heard, uint64(1))
-	is.Equal(b.leaving.own, uint64(0))
+	is.Equal(a.leavingReports.received, uint64(1))
+	is.Equal(b.leavingReports.received, uint64(1))
+	is.Equal(b.leavingReports.observed, uint64(0))
 	is.Equal(len(lines.Entries), written+1)
 	line := lines.Entries[written]
 	is.Equal(line.Message, "target leaves")
@@ -85,33 +85,33 @@
 // tells it as one that knows first.
 func TestLeavingIsSpread(t *testing.T) {
 	is := is.New(t)
-	c, lives := leaverControl(3)
-	v, old := &View{}, c.newsMark() // it is no watcher
-	c.hearLeaving(Leavers{lives[0]}, toldBy("e-a"))
-	c.noteNews(v, old)
-	is.True(c.news.changed && !c.news.first)
-	c.news, old = pendingNews{}, c.newsMark()
-	targetLeaves{life: lives[1]}.apply(c)
-	c.noteNews(v, old)
-	is.True(c.news.changed && c.news.first)
-	c.news, old = pendingNews{}, c.newsMark()
-	targetLeaves{life: lives[1]}.apply(c)
-	c.noteNews(v, old)
-	is.True(!c.news.changed && !c.news.first)
+	c, lives := controlWithLeaving(3)
+	v, old := &View{}, c.updateMark() // it is no watcher
+	c.receiveLeaving(LeavingTargets{lives[0]}, reportsUntilRepeat("e-a"))
+	c.noteUpdates(v, old)
+	is.True(c.pendingUpdates.changed && !c.pendingUpdates.firstSource)
+	c.pendingUpdates, old = pendingUpdates{}, c.updateMark()
+	targetLeaving{incarnation: lives[1]}.apply(c)
+	c.noteUpdates(v, old)
+	is.True(c.pendingUpdates.changed && c.pendingUpdates.firstSource)
+	c.pendingUpdates, old = pendingUpdates{}, c.updateMark()
+	targetLeaving{incarnation: lives[1]}.apply(c)
+	c.noteUpdates(v, old)
+	is.True(!c.pendingUpdates.changed && !c.pendingUpdates.firstSource)
 }
 
 // TestLeaverGetsNoOrders guards against loads of weights at a target that has said that it leaves,
 // and against its zone being looked at there.
 func TestLeaverGetsNoOrders(t *testing.T) {
 	is := is.New(t)
-	c, lives := leaverControl(3)
+	c, lives := controlWithLeaving(3)
 	versionsNamed{revision: 1, changed: 1, versions: []catalog.ModelVersion{{Model: "m", Version: 2}}, from: fromStore}.apply(c)
-	is.Equal(len(c.view().Behind), 3)
-	targetLeaves{life: lives[0]}.apply(c)
-	v := c.view()
-	is.Equal(len(v.Behind), 2)
+	is.Equal(len(c.buildView().Outdated), 3)
+	targetLeaving{incarnation: lives[0]}.apply(c)
+	v := c.buildView()
+	is.Equal(len(v.Outdated), 2)
 	is.Equal(len(v.Serving["s"]), 2)
-	is.Equal(len(v.inZone("z0")), 0)
+	is.Equal(len(v.targetsInZone("z0")), 0)
 	is.True(v.Targets["i-0000"] != nil) // what runs there ends
 }
 
@@ -119,15 +119,17 @@
 // them say so.
 func TestLeavingCostsNothing(t *testing.T) {
 	is := is.New(t)
-	c, lives := leaverControl(1)
+	c, lives := controlWithLeaving(1)
 	g := &Gateway{events: make(chan event, 4)}
 	target := &c.targets.Entries()[0].Target
-	g.view.Store(c.view())
-	g.hearWord(target, Word{Leaving: true}, registry.Teller{})
+	g.view.Store(c.buildView())
+	g.applyNotice(target, Notice{Leaving: true}, registry.Teller{})
 	is.Equal(len(g.events), 1)
-	targetLeaves{life: lives[0]}.apply(c)
-	g.view.Store(c.view())
-	is.Equal(testing.AllocsPerRun(100, func() { g.hearWord(target, Word{Leaving: true}, registry.Teller{From: string(fromAnswer), By: "r-1"}) }), 0.0)
+	targetLeaving{incarnation: lives[0]}.apply(c)
+	g.view.Store(c.buildView())
+	is.Equal(testing.AllocsPerRun(100, func() {
+		g.applyNotice(target, Notice{Leaving: true}, registry.Teller{From: string(fromAnswer), By: "r-1"})
+	}), 0.0)
 	is.Equal(len(g.events), 1)
 }
 
@@ -135,20 +137,20 @@
 // says the same: the entry may take it back.
 func TestOwnWordBesideTheEntry(t *testing.T) {
 	is := is.New(t)
-	c, _ := leaverControl(1)
+	c, _ := controlWithLeaving(1)
 	draining := targetsOf(1, 3)
 	draining[0].Leaving, draining[0].Revision = true, registryRevision+1
 	c.targets.Change(registryRevision+1, draining, nil, at0)
 	g := &Gateway{events: make(chan event, 4)}
-	g.view.Store(c.view())
-	g.hearWord(&draining[0], Word{Leaving: true}, registry.Teller{})
+	g.view.Store(c.buildView())
+	g.applyNotice(&draining[0], Notice{Leaving: true}, registry.Teller{})
 	is.Equal(len(g.events), 1)
 	(<-g.events).apply(c)
-	is.Equal(c.leaving, leavingWords{}) // no news to peers: the entry tells them
+	is.Equal(c.leavingReports, leavingReports{}) // no news to peers: the entry tells them
 	ready := targetsOf(1, 3)
 	ready[0].Revision = registryRevision + 2
 	c.targets.Change(registryRevision+2, ready, nil, at0)
-	is.Equal(len(c.view().Serving["s"]), 0)
+	is.Equal(len(c.buildView().Serving["s"]), 0)
 }
 
 // TestUnreadableLeavers guards against a word that can't be read taking others, or its message,
@@ -162,15 +164,15 @@
 		"nothing":         nil,
 		"one of all":      []any{"x", map[int]any{1: 7}, map[int]any{1: "i", 2: "soon"}, map[int]any{1: "i", 2: -1}, map[int]any{}, []int{1}, nil, good},
 		"of more fields":  []any{map[int]any{1: "i-1", 2: 7, 3: "later"}},
-		"more than bound": slices.Repeat([]any{good}, 10*mostLeavers),
+		"more than bound": slices.Repeat([]any{good}, 10*maxLeavingTargets),
 	} {
 		data, err := cbor.Marshal(map[int]any{1: member.Member{Name: "e-1"}, 8: 5, 9: words})
 		is.NoErr(err)
-		var h Hello
+		var h HelloRequest
 		is.NoErr(cbor.Unmarshal(data, &h))
 		is.Equal(h.From.Name, "e-1")
-		is.Equal(h.Members, 5)
-		is.True(len(h.Leaving) <= mostLeavers)
+		is.Equal(h.LiveMembers, 5)
+		is.True(len(h.Leaving) <= maxLeavingTargets)
 		for _, l := range h.Leaving {
 			is.Equal(l, good)
 		}
@@ -178,22 +180,22 @@
 	}
 }
 
-// mostLeaverBytes is what the words on targets that leave may cost a message.
-const mostLeaverBytes = 600
+// maxLeavingBytes is what the words on targets that leave may cost a message.
+const maxLeavingBytes = 600
 
 // TestLeaversAreShort guards against control messages that grow beyond what an instance may spend.
 func TestLeaversAreShort(t *testing.T) {
 	is := is.New(t)
-	var words Leavers
-	for i := range mostLeavers {
+	var words LeavingTargets
+	for i := range maxLeavingTargets {
 		words = append(words, registry.Life{Name: fmt.Sprintf("i-%010x", i), Start: time.Now().UnixMilli()})
 	}
-	with, err := cbor.Marshal(Hello{Leaving: words})
+	with, err := cbor.Marshal(HelloRequest{Leaving: words})
 	is.NoErr(err)
-	without, err := cbor.Marshal(Hello{})
+	without, err := cbor.Marshal(HelloRequest{})
 	is.NoErr(err)
-	is.True(len(with)-len(without) <= mostLeaverBytes)
-	var h Hello
+	is.True(len(with)-len(without) <= maxLeavingBytes)
+	var h HelloRequest
 	is.NoErr(cbor.Unmarshal(with, &h))
 	is.Equal(h.Leaving, words)
 }
@@ -212,8 +214,8 @@
 		if err != nil || cbor.Wellformed(data) != nil {
 			return // the message is none
 		}
-		var h Hello
-		if err := cbor.Unmarshal(data, &h); err != nil || h.From.Name != "e-1" || len(h.Leaving) > mostLeavers {
+		var h HelloRequest
+		if err := cbor.Unmarshal(data, &h); err != nil || h.From.Name != "e-1" || len(h.Leaving) > maxLeavingTargets {
 			t.Fatalf("%v %+v", err, h)
 		}
 		for _, l := range h.Leaving {
