--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -18,115 +18,115 @@
 	"github.com/shedhoist/shedhoist/internal/catalog"
 )
 
-// leaveBound is the time after which no request may be sent to a target that has said that it
+// leavingBound is the time after which no request may be sent to a target that has said that it
 // leaves, by an instance that passed such an answer on.
-const leaveBound = 2 * time.Second
+const leavingBound = 2 * time.Second
 
 // Headers and paths of the dialect.
 const (
-	spokenLeaving = "Leaving"
-	spokenNotRun  = "Not-Run"
-	spokenRetry   = "Retry-After"
+	leavingHeader     = "Leaving"
+	notExecutedHeader = "Not-Run"
+	retryAfterHeader  = "Retry-After"
 )
 
 // leavingCodec is a dialect whose targets say in their answers that they leave.
 type leavingCodec struct{ trafficCodec }
 
-// Config implements Codec.
-func (leavingCodec) Config(value []byte) (*catalog.Config, error) {
+// DecodeConfig implements Codec.
+func (leavingCodec) DecodeConfig(value []byte) (*catalog.Config, error) {
 	return configWithStreams(value, 8*time.Second, 2)
 }
 
-// ReadAnswer implements Codec.
-func (leavingCodec) ReadAnswer(_ int, h http.Header) Answer {
-	return Answer{ID: h.Get(trafficID), Signed: true, NotRun: h.Get(spokenNotRun) != "", Word: Word{Leaving: h.Get(spokenLeaving) == "1"}}
+// ParseResponse implements Codec.
+func (leavingCodec) ParseResponse(_ int, h http.Header) TargetResponse {
+	return TargetResponse{ID: h.Get(trafficID), Signed: true, NotExecuted: h.Get(notExecutedHeader) != "", Notice: Notice{Leaving: h.Get(leavingHeader) == "1"}}
 }
 
-// RefuseHeader implements Codec.
-func (leavingCodec) RefuseHeader(h http.Header, _ string, retryAfter time.Duration) {
+// ProblemHeader implements Codec.
+func (leavingCodec) ProblemHeader(h http.Header, _ string, retryAfter time.Duration) {
 	if retryAfter > 0 {
-		h.Set(spokenRetry, strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
+		h.Set(retryAfterHeader, strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 	}
 }
 
-// speaker is a target that says in its answers that it leaves.
-type speaker struct {
+// leavingTarget is a target that says in its answers that it leaves.
+type leavingTarget struct {
 	f    *leavingFleet
 	name string
 	zone string
 
-	mu      sync.Mutex
-	srv     *http.Server
-	born    int64 // Unix ms of its life's start; 0: its entry does not tell
-	leaves  bool
-	answers func(w http.ResponseWriter, r *http.Request, leaves bool) // nil: with its name
-	told    map[string]time.Time                                      // when it first said so to an instance
-	sent    map[string]time.Time                                      // when the last request that came by an instance was sent
-	reached map[string]int                                            // requests that came by an instance
+	mu                   sync.Mutex
+	srv                  *http.Server
+	startedAt            int64 // Unix ms of its life's start; 0: its entry does not tell
+	leaving              bool
+	handler              func(w http.ResponseWriter, r *http.Request, leaves bool) // nil: with its name
+	firstLeavingResponse map[string]time.Time                                      // when it first said so to an instance
+	lastRequestSent      map[string]time.Time                                      // when the last request that came by an instance was sent
+	requestCounts        map[string]int                                            // requests that came by an instance
 }
 
-// begin begins a life, with an entry of its own.
-func (s *speaker) begin() {
+// start begins a life, with an entry of its own.
+func (s *leavingTarget) start() {
 	ln, err := s.f.net.listen(s.name + ":1")
 	if err != nil {
 		s.f.t.Fatal(err)
 	}
 	srv := &http.Server{Handler: s}
 	s.mu.Lock()
-	s.srv, s.leaves = srv, false
-	if !s.f.unborn {
-		s.born = time.Now().UnixMilli()
+	s.srv, s.leaving = srv, false
+	if !s.f.noStartTime {
+		s.startedAt = time.Now().UnixMilli()
 	}
-	s.told, s.sent, s.reached = map[string]time.Time{}, map[string]time.Time{}, map[string]int{}
+	s.firstLeavingResponse, s.lastRequestSent, s.requestCounts = map[string]time.Time{}, map[string]time.Time{}, map[string]int{}
 	s.mu.Unlock()
 	go func() { _ = srv.Serve(ln) }() // it ends with the life
-	s.enter(false)
+	s.writeEntry(false)
 }
 
-// end ends the life; its address refuses connections.
-func (s *speaker) end() {
-	s.f.unlisten(s.name + ":1")
+// stop ends the life; its address refuses connections.
+func (s *leavingTarget) stop() {
+	s.f.closeListeners(s.name + ":1")
 	s.mu.Lock()
 	srv := s.srv
 	s.mu.Unlock()
 	srv.Close()
 }
 
-// enter writes the target's entry.
-func (s *speaker) enter(leaving bool) {
-	s.f.store.set(memoryTargets, s.name, catalog.Target{Service: "s", Address: s.name + ":1", Zone: s.zone, Start: s.born, Leaving: leaving,
+// writeEntry writes the target's entry.
+func (s *leavingTarget) writeEntry(leaving bool) {
+	s.f.store.set(memoryTargets, s.name, catalog.Target{Service: "s", Address: s.name + ":1", Zone: s.zone, Start: s.startedAt, Leaving: leaving,
 		Models: []catalog.ModelVersion{{Model: "m", Version: 1}}})
 }
 
-// leave has all answers from now on say so.
-func (s *speaker) leave() {
+// startLeaving has all answers from now on say so.
+func (s *leavingTarget) startLeaving() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaves = true
+	s.leaving = true
 }
 
-// answer replaces how requests are answered.
-func (s *speaker) answer(f func(w http.ResponseWriter, r *http.Request, leaves bool)) {
+// setHandler replaces how requests are answered.
+func (s *leavingTarget) setHandler(f func(w http.ResponseWriter, r *http.Request, leaves bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.answers = f
+	s.handler = f
 }
 
-// forget drops what was noted of requests.
-func (s *speaker) forget() {
+// resetCounts drops what was noted of requests.
+func (s *leavingTarget) resetCounts() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	clear(s.told)
-	clear(s.sent)
-	clear(s.reached)
+	clear(s.firstLeavingResponse)
+	clear(s.lastRequestSent)
+	clear(s.requestCounts)
 }
 
 // arrived is how many requests came by instances, but one of them.
-func (s *speaker) arrived(but string) int {
+func (s *leavingTarget) arrived(but string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
-	for instance, reached := range s.reached {
+	for instance, reached := range s.requestCounts {
 		if instance != but {
 			n += reached
 		}
@@ -135,14 +135,14 @@
 }
 
 // from is how many came by one instance.
-func (s *speaker) from(instance string) int {
+func (s *leavingTarget) from(instance string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.reached[instance]
+	return s.requestCounts[instance]
 }
 
 // ServeHTTP implements http.Handler.
-func (s *speaker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *leavingTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return // its caller is gone
@@ -153,21 +153,21 @@
 		s.f.t.Error(err)
 	}
 	s.mu.Lock()
-	s.reached[instance]++
-	if sent := time.Unix(0, ns); sent.After(s.sent[instance]) {
-		s.sent[instance] = sent
+	s.requestCounts[instance]++
+	if sent := time.Unix(0, ns); sent.After(s.lastRequestSent[instance]) {
+		s.lastRequestSent[instance] = sent
 	}
 	s.mu.Unlock()
 	time.Sleep(runTime)
 	w.Header().Set(trafficID, r.Header.Get(trafficID))
 	s.mu.Lock()
-	leaves, answers := s.leaves, s.answers
-	if _, told := s.told[instance]; leaves && !told {
-		s.told[instance] = time.Now()
+	leaves, answers := s.leaving, s.handler
+	if _, told := s.firstLeavingResponse[instance]; leaves && !told {
+		s.firstLeavingResponse[instance] = time.Now()
 	}
 	s.mu.Unlock()
 	if leaves {
-		w.Header().Set(spokenLeaving, "1")
+		w.Header().Set(leavingHeader, "1")
 	}
 	if answers != nil {
 		answers(w, r, leaves)
@@ -178,18 +178,18 @@
 
 // late lists the instances by which the target was sent requests later than bound after it had
 // first told them that it leaves; together: after it had first told any.
-func (s *speaker) late(bound time.Duration, together bool) []string {
+func (s *leavingTarget) late(bound time.Duration, together bool) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var first time.Time
-	for _, at := range s.told {
+	for _, at := range s.firstLeavingResponse {
 		if first.IsZero() || at.Before(first) {
 			first = at
 		}
 	}
 	var out []string
-	for instance, sent := range s.sent {
-		told := s.told[instance]
+	for instance, sent := range s.lastRequestSent {
+		told := s.firstLeavingResponse[instance]
 		if together {
 			told = first
 		}
@@ -203,9 +203,9 @@
 // leavingFleet is a fleet before targets that say in their answers that they leave.
 type leavingFleet struct {
 	*trafficFleet
-	speakers []*speaker
-	unborn   bool // the targets' entries don't tell when their lives started
-	asking   sync.WaitGroup
+	leavingTargets []*leavingTarget
+	noStartTime    bool // the targets' entries don't tell when their lives started
+	loadGenerators sync.WaitGroup
 
 	mu     sync.Mutex
 	failed int
@@ -213,42 +213,42 @@
 
 // newLeavingFleet starts n instances and some targets in two zones.
 func newLeavingFleet(t *testing.T, n, targets int) *leavingFleet {
-	return newUnbornFleet(t, n, targets, false)
+	return newFleetWithoutStartTimes(t, n, targets, false)
 }
 
-// newUnbornFleet is newLeavingFleet with targets whose entries don't tell their starts.
-func newUnbornFleet(t *testing.T, n, targets int, unborn bool) *leavingFleet {
-	f := &leavingFleet{trafficFleet: newFleetWith(t, n, 2, 0, fleetOptions{codec: leavingCodec{}}), unborn: unborn}
+// newFleetWithoutStartTimes is newLeavingFleet with targets whose entries don't tell their starts.
+func newFleetWithoutStartTimes(t *testing.T, n, targets int, unborn bool) *leavingFleet {
+	f := &leavingFleet{trafficFleet: newFleetWith(t, n, 2, 0, fleetOptions{codec: leavingCodec{}}), noStartTime: unborn}
 	for i := range targets {
-		s := &speaker{f: f, name: fmt.Sprintf("t-%02d", i), zone: fmt.Sprintf("z%d", i%2)}
-		f.speakers = append(f.speakers, s)
-		s.begin()
+		s := &leavingTarget{f: f, name: fmt.Sprintf("t-%02d", i), zone: fmt.Sprintf("z%d", i%2)}
+		f.leavingTargets = append(f.leavingTargets, s)
+		s.start()
 	}
 	time.Sleep(time.Second)
 	return f
 }
 
 func (f *leavingFleet) end() {
-	f.asking.Wait()
-	for _, s := range f.speakers {
-		s.end()
+	f.loadGenerators.Wait()
+	for _, s := range f.leavingTargets {
+		s.stop()
 	}
 	f.stop()
 }
 
-// one sends a request to an instance.
-func (f *leavingFleet) one(i int, path string) trafficAnswer {
+// sendOne sends a request to an instance.
+func (f *leavingFleet) sendOne(i int, path string) trafficResponse {
 	name := fmt.Sprintf("e-%03d", i)
-	return f.askAt(name+":1", path, name+" "+strconv.FormatInt(time.Now().UnixNano(), 10))
+	return f.requestAt(name+":1", path, name+" "+strconv.FormatInt(time.Now().UnixNano(), 10))
 }
 
-// press sends requests to instances in turn for a while, and returns when all are sent.
-func (f *leavingFleet) press(instances []int, path string, every, long time.Duration) {
+// sendLoad sends requests to instances in turn for a while, and returns when all are sent.
+func (f *leavingFleet) sendLoad(instances []int, path string, every, long time.Duration) {
 	for i := 0; time.Duration(i)*every < long; i++ {
-		f.asking.Add(1)
+		f.loadGenerators.Add(1)
 		go func() {
-			defer f.asking.Done()
-			if f.one(instances[i%len(instances)], path).status != http.StatusOK {
+			defer f.loadGenerators.Done()
+			if f.sendOne(instances[i%len(instances)], path).status != http.StatusOK {
 				f.mu.Lock()
 				defer f.mu.Unlock()
 				f.failed++
@@ -260,7 +260,7 @@
 
 // failures is how many of these were not served.
 func (f *leavingFleet) failures() int {
-	f.asking.Wait()
+	f.loadGenerators.Wait()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.failed
@@ -268,7 +268,7 @@
 
 // all are the instances.
 func (f *leavingFleet) all() []int {
-	out := make([]int, len(f.gates))
+	out := make([]int, len(f.gateways))
 	for i := range out {
 		out[i] = i
 	}
@@ -278,7 +278,7 @@
 // refuses answers that the request did not run, once the target leaves.
 func refuses(w http.ResponseWriter, _ *http.Request, leaves bool) {
 	if leaves {
-		w.Header().Set(spokenNotRun, "1")
+		w.Header().Set(notExecutedHeader, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
@@ -299,7 +299,7 @@
 // Streams of the targets.
 const (
 	streamEvents = 15
-	streamGap    = 200 * time.Millisecond // the whole lasts longer than leaveBound
+	streamGap    = 200 * time.Millisecond // the whole lasts longer than leavingBound
 )
 
 // streams answers with a stream.
@@ -322,17 +322,17 @@
 // TestLeavesByItsOwnWord guards against requests to a target that has said that it leaves, whatever its entry says.
 func TestLeavesByItsOwnWord(t *testing.T) {
 	const every = 5 * time.Millisecond
-	silent := func(f *leavingFleet) { f.silence(true) }
+	silent := func(f *leavingFleet) { f.silenceStore(true) }
 	cases := []struct {
 		name     string
 		n        int
 		path     string
 		every    time.Duration
 		answers  func(http.ResponseWriter, *http.Request, bool)
-		before   func(f *leavingFleet)             // right before the target's first word
-		after    func(f *leavingFleet, s *speaker) // while requests come
-		unborn   bool                              // starts are not told
-		failures bool                              // some may fail: targets break them, or the retry budget is used up
+		before   func(f *leavingFleet)                   // right before the target's first word
+		after    func(f *leavingFleet, s *leavingTarget) // while requests come
+		unborn   bool                                    // starts are not told
+		failures bool                                    // some may fail: targets break them, or the retry budget is used up
 	}{
 		{name: "the store is well, and the entry says ready", n: 3},
 		{name: "the store is silent", n: 3, before: silent},
@@ -343,43 +343,43 @@
 		{name: "it fails at times", n: 3, path: pathOnce, answers: failsAtTimes(), before: silent, failures: true},
 		{name: "streams that last longer than the bound", n: 3, path: pathStream, every: 40 * time.Millisecond, answers: streams, before: silent},
 		{name: "streams that break and go on elsewhere", n: 3, path: pathStream, every: 40 * time.Millisecond, answers: streams, failures: true, before: func(f *leavingFleet) {
-			f.silence(true)
-			f.speakers[1].answer(streamsHalf)
+			f.silenceStore(true)
+			f.leavingTargets[1].setHandler(streamsHalf)
 		}},
-		{name: "the entry is written again, as ready", n: 3, after: func(_ *leavingFleet, s *speaker) { s.enter(false) }},
-		{name: "the entry says it, and is written again as ready", n: 3, before: func(f *leavingFleet) { f.speakers[0].enter(true) },
-			after: func(_ *leavingFleet, s *speaker) { s.enter(false) }},
-		{name: "the entry vanishes and returns", n: 3, after: func(f *leavingFleet, s *speaker) {
+		{name: "the entry is written again, as ready", n: 3, after: func(_ *leavingFleet, s *leavingTarget) { s.writeEntry(false) }},
+		{name: "the entry says it, and is written again as ready", n: 3, before: func(f *leavingFleet) { f.leavingTargets[0].writeEntry(true) },
+			after: func(_ *leavingFleet, s *leavingTarget) { s.writeEntry(false) }},
+		{name: "the entry vanishes and returns", n: 3, after: func(f *leavingFleet, s *leavingTarget) {
 			f.store.remove(memoryTargets, s.name)
 			time.Sleep(500 * time.Millisecond)
-			s.enter(false)
+			s.writeEntry(false)
 		}},
 		{name: "starts are not told", n: 3, unborn: true, before: silent},
-		{name: "starts are not told, and the entry vanishes and returns", n: 3, unborn: true, after: func(f *leavingFleet, s *speaker) {
+		{name: "starts are not told, and the entry vanishes and returns", n: 3, unborn: true, after: func(f *leavingFleet, s *leavingTarget) {
 			f.store.remove(memoryTargets, s.name)
 			time.Sleep(2 * time.Second)
-			s.enter(false)
+			s.writeEntry(false)
 		}},
-		{name: "the entry can't be read for a while", n: 3, after: func(f *leavingFleet, s *speaker) {
+		{name: "the entry can't be read for a while", n: 3, after: func(f *leavingFleet, s *leavingTarget) {
 			f.store.set(memoryTargets, s.name, "no entry")
 			time.Sleep(500 * time.Millisecond)
-			s.enter(false)
+			s.writeEntry(false)
 		}},
-		{name: "history is lost", n: 3, after: func(f *leavingFleet, s *speaker) {
-			f.store.forget()
-			s.enter(false)
+		{name: "history is lost", n: 3, after: func(f *leavingFleet, s *leavingTarget) {
+			f.store.truncateHistory()
+			s.writeEntry(false)
 		}},
-		{name: "the store returns", n: 3, before: silent, after: func(f *leavingFleet, s *speaker) {
-			f.silence(false)
+		{name: "the store returns", n: 3, before: silent, after: func(f *leavingFleet, s *leavingTarget) {
+			f.silenceStore(false)
 			time.Sleep(500 * time.Millisecond)
-			s.enter(false)
+			s.writeEntry(false)
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				f := newUnbornFleet(t, c.n, 3, c.unborn)
+				f := newFleetWithoutStartTimes(t, c.n, 3, c.unborn)
 				defer f.end()
 				path, pause := c.path, c.every
 				if path == "" {
@@ -388,24 +388,24 @@
 				if pause == 0 {
 					pause = every
 				}
-				for _, s := range f.speakers {
-					s.answer(c.answers)
+				for _, s := range f.leavingTargets {
+					s.setHandler(c.answers)
 				}
-				s := f.speakers[0]
-				f.press(f.all(), path, pause, time.Second)
+				s := f.leavingTargets[0]
+				f.sendLoad(f.all(), path, pause, time.Second)
 				if s.arrived("") == 0 {
 					t.Error("the target was not used")
 				}
-				s.leave()
+				s.startLeaving()
 				if c.before != nil {
 					c.before(f)
 				}
-				f.press(f.all(), path, pause, time.Second)
+				f.sendLoad(f.all(), path, pause, time.Second)
 				if c.after != nil {
 					c.after(f, s)
 				}
-				f.press(f.all(), path, pause, 3*leaveBound)
-				if late := s.late(leaveBound, true); len(late) > 0 {
+				f.sendLoad(f.all(), path, pause, 3*leavingBound)
+				if late := s.late(leavingBound, true); len(late) > 0 {
 					t.Errorf("requests were sent to it after it had said that it leaves: %v", late)
 				}
 				if n := f.failures(); n > 0 && !c.failures {
@@ -418,7 +418,7 @@
 
 // TestLeavesByPeersWord guards against requests to a target that has said that it leaves to another instance only.
 func TestLeavesByPeersWord(t *testing.T) {
-	onlyPeers := func(f *leavingFleet) { f.doors[f.join()].shut(true) }
+	onlyPeers := func(f *leavingFleet) { f.storeClients[f.addInstance()].setSilent(true) }
 	cases := []struct {
 		name   string
 		n      int
@@ -429,8 +429,8 @@
 		{"a large fleet", 40, false, nil},
 		{"starts are not told", 40, true, nil},
 		{"an instance starts, and the store answers it", 3, false, func(f *leavingFleet) {
-			f.silence(false)
-			f.join()
+			f.silenceStore(false)
+			f.addInstance()
 		}},
 		{"an instance starts, and only peers can tell it", 3, false, onlyPeers},
 		{"an instance starts, only peers can tell it, and starts are not told", 3, true, onlyPeers},
@@ -440,18 +440,18 @@
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				f := newUnbornFleet(t, c.n, 3, c.unborn)
+				f := newFleetWithoutStartTimes(t, c.n, 3, c.unborn)
 				defer f.end()
-				f.silence(true)
-				f.speakers[0].leave()
-				f.press([]int{0}, pathSafe, 10*time.Millisecond, time.Second)
-				is.True(f.speakers[0].arrived("") > 0)
+				f.silenceStore(true)
+				f.leavingTargets[0].startLeaving()
+				f.sendLoad([]int{0}, pathSafe, 10*time.Millisecond, time.Second)
+				is.True(f.leavingTargets[0].arrived("") > 0)
 				if c.more != nil {
 					c.more(f)
 					time.Sleep(2 * time.Second) // it knows the targets
 				}
-				f.press(f.all(), pathSafe, 5*time.Millisecond, leaveBound)
-				is.Equal(f.speakers[0].arrived("e-000"), 0)
+				f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, leavingBound)
+				is.Equal(f.leavingTargets[0].arrived("e-000"), 0)
 				is.Equal(f.failures(), 0)
 			})
 		})
@@ -464,13 +464,13 @@
 		is := is.New(t)
 		f := newLeavingFleet(t, 3, 3)
 		defer f.end()
-		f.speakers[0].leave()
+		f.leavingTargets[0].startLeaving()
 		f.restartAll()
 		time.Sleep(time.Second)
-		f.speakers[0].forget()
-		f.press(f.all(), pathSafe, 5*time.Millisecond, 3*leaveBound)
-		is.True(f.speakers[0].arrived("") > 0)
-		is.Equal(f.speakers[0].late(leaveBound, false), nil)
+		f.leavingTargets[0].resetCounts()
+		f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, 3*leavingBound)
+		is.True(f.leavingTargets[0].arrived("") > 0)
+		is.Equal(f.leavingTargets[0].late(leavingBound, false), nil)
 	})
 }
 
@@ -480,15 +480,15 @@
 		is := is.New(t)
 		f := newLeavingFleet(t, 3, 3)
 		defer f.end()
-		s := f.speakers[0]
-		s.leave()
-		f.press(f.all(), pathSafe, 5*time.Millisecond, time.Second)
-		s.end()
+		s := f.leavingTargets[0]
+		s.startLeaving()
+		f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
+		s.stop()
 		time.Sleep(100 * time.Millisecond)
-		s.begin()
+		s.start()
 		time.Sleep(time.Second)
-		f.press(f.all(), pathSafe, 5*time.Millisecond, time.Second)
-		for _, g := range f.gates {
+		f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
+		for _, g := range f.gateways {
 			is.True(s.from(g.settings().Name) > 0)
 		}
 	})
@@ -500,17 +500,17 @@
 		is := is.New(t)
 		f := newLeavingFleet(t, 1, 2)
 		defer f.end()
-		s := f.speakers[0]
+		s := f.leavingTargets[0]
 		var once sync.Once
-		s.answer(func(w http.ResponseWriter, _ *http.Request, _ bool) {
+		s.setHandler(func(w http.ResponseWriter, _ *http.Request, _ bool) {
 			once.Do(func() {
 				w.Header().Set(trafficID, "another")
-				w.Header().Set(spokenLeaving, "1")
+				w.Header().Set(leavingHeader, "1")
 			})
 		})
-		f.press(f.all(), pathSafe, 5*time.Millisecond, time.Second)
-		s.forget()
-		f.press(f.all(), pathSafe, 5*time.Millisecond, time.Second)
+		f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
+		s.resetCounts()
+		f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
 		is.True(s.arrived("") > 0)
 	})
 }
@@ -521,31 +521,31 @@
 		is := is.New(t)
 		f := newLeavingFleet(t, 3, 3)
 		defer f.end()
-		f.silence(true)
-		for _, s := range f.speakers {
-			s.leave()
+		f.silenceStore(true)
+		for _, s := range f.leavingTargets {
+			s.startLeaving()
 		}
-		f.press(f.all(), pathSafe, 5*time.Millisecond, time.Second)
-		f.asking.Wait()
-		for _, s := range f.speakers {
-			s.forget()
+		f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
+		f.loadGenerators.Wait()
+		for _, s := range f.leavingTargets {
+			s.resetCounts()
 		}
 		for i := range 6 {
 			began := time.Now()
-			conn := f.call(i % 3)
+			conn := f.dialCaller(i % 3)
 			body := fmt.Sprintf("e-%03d %d", i%3, began.UnixNano())
-			_, err := fmt.Fprintf(conn, "POST %sx HTTP/1.1\r\nHost: %s\r\n%s: all-%d\r\n%s: key\r\nContent-Length: %d\r\n\r\n%s", pathOnce, hostAll, trafficID, i, trafficKey, len(body), body)
+			_, err := fmt.Fprintf(conn, "POST %sx HTTP/1.1\r\nHost: %s\r\n%s: all-%d\r\n%s: key\r\nContent-Length: %d\r\n\r\n%s", pathOnce, anyHost, trafficID, i, trafficKey, len(body), body)
 			is.NoErr(err)
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			is.NoErr(err)
 			is.Equal(resp.StatusCode, http.StatusServiceUnavailable)
-			is.True(resp.Header.Get(spokenRetry) != "")
+			is.True(resp.Header.Get(retryAfterHeader) != "")
 			data, err := io.ReadAll(resp.Body)
 			is.NoErr(err)
 			is.True(strings.Contains(string(data), `"not-run"`))
 			is.True(time.Since(began) < 50*time.Millisecond)
 		}
-		for _, s := range f.speakers {
+		for _, s := range f.leavingTargets {
 			is.Equal(s.arrived(""), 0)
 		}
 	})
@@ -557,14 +557,14 @@
 		is := is.New(t)
 		f := newLeavingFleet(t, 3, 1)
 		defer f.end()
-		s := f.speakers[0]
-		s.answer(streams)
-		got := make(chan trafficAnswer, 1)
-		go func() { got <- f.one(0, pathStream) }()
+		s := f.leavingTargets[0]
+		s.setHandler(streams)
+		got := make(chan trafficResponse, 1)
+		go func() { got <- f.sendOne(0, pathStream) }()
 		time.Sleep(time.Second)
-		s.answer(nil)
-		s.leave()
-		f.press([]int{0}, pathSafe, 50*time.Millisecond, time.Second)
+		s.setHandler(nil)
+		s.startLeaving()
+		f.sendLoad([]int{0}, pathSafe, 50*time.Millisecond, time.Second)
 		a := <-got
 		is.Equal(a.status, http.StatusOK)
 		is.Equal(strings.Count(a.body, "id: "), streamEvents)
@@ -577,26 +577,26 @@
 		is := is.New(t)
 		f := newLeavingFleet(t, 3, 3)
 		defer f.end()
-		f.silence(true)
-		s := f.speakers[0]
-		s.answer(streams)
+		f.silenceStore(true)
+		s := f.leavingTargets[0]
+		s.setHandler(streams)
 		var all sync.WaitGroup
 		for i := range 9 {
 			all.Add(1)
 			go func() {
 				defer all.Done()
-				f.one(i%3, pathStream)
+				f.sendOne(i%3, pathStream)
 			}()
 		}
 		time.Sleep(500 * time.Millisecond)
 		is.True(s.arrived("") > 0)
-		s.answer(nil)
-		s.leave()
-		f.press(f.all(), pathSafe, 5*time.Millisecond, time.Second)
-		s.end()
+		s.setHandler(nil)
+		s.startLeaving()
+		f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
+		s.stop()
 		all.Wait()
 		time.Sleep(time.Second)
-		for _, g := range f.gates {
+		for _, g := range f.gateways {
 			is.True(g.quarantine.Empty())
 		}
 	})
@@ -605,12 +605,12 @@
 // leavingEngines are targets whose reports say that they leave.
 type leavingEngines struct {
 	Engines
-	start int64
+	startedAt int64
 }
 
 // Report implements Engines.
 func (e leavingEngines) Report(context.Context, string, string) (Report, error) {
-	return Report{Start: e.start, Models: []catalog.ModelVersion{{Model: "m", Version: 1}}, Word: Word{Leaving: true}}, nil
+	return Report{Start: e.startedAt, Models: []catalog.ModelVersion{{Model: "m", Version: 1}}, Notice: Notice{Leaving: true}}, nil
 }
 
 // TestLeavesByItsReport guards against requests, and loads, for a target whose report says that it leaves.
@@ -619,13 +619,13 @@
 		is := is.New(t)
 		f := newLeavingFleet(t, 3, 3)
 		defer f.end()
-		s := f.speakers[0]
-		target := f.gates[0].view.Load().Targets[catalog.Target{Name: s.name, Start: s.born}.Identify().ID]
-		f.gates[0].engines = leavingEngines{start: s.born}
-		_, err := f.gates[0].rollout.report(t.Context(), target)
+		s := f.leavingTargets[0]
+		target := f.gateways[0].view.Load().Targets[catalog.Target{Name: s.name, Start: s.startedAt}.Identify().ID]
+		f.gateways[0].engines = leavingEngines{startedAt: s.startedAt}
+		_, err := f.gateways[0].rollout.fetchReport(t.Context(), target)
 		is.NoErr(err)
 		time.Sleep(time.Second)
-		f.press(f.all(), pathSafe, 5*time.Millisecond, time.Second)
+		f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
 		is.Equal(s.arrived(""), 0)
 		is.Equal(f.failures(), 0)
 	})
@@ -637,13 +637,13 @@
 		is := is.New(t)
 		f := newLeavingFleet(t, 1, 2)
 		defer f.end()
-		s := f.speakers[0]
-		target := f.gates[0].view.Load().Targets[catalog.Target{Name: s.name, Start: s.born}.Identify().ID]
-		f.gates[0].engines = leavingEngines{start: s.born - 1000}
-		_, err := f.gates[0].rollout.report(t.Context(), target)
+		s := f.leavingTargets[0]
+		target := f.gateways[0].view.Load().Targets[catalog.Target{Name: s.name, Start: s.startedAt}.Identify().ID]
+		f.gateways[0].engines = leavingEngines{startedAt: s.startedAt - 1000}
+		_, err := f.gateways[0].rollout.fetchReport(t.Context(), target)
 		is.True(err != nil)
 		time.Sleep(time.Second)
-		f.press(f.all(), pathSafe, 5*time.Millisecond, time.Second)
+		f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
 		is.True(s.arrived("") > 0)
 	})
 }
--- a/internal/gateway/load_reports.go
+++ b/internal/gateway/load_reports.go
@@ -13,77 +13,77 @@
 
 // Pace of telling one another what is under way at the targets.
 const (
-	loadEvery = 120 * time.Millisecond
-	// loadEveryStep is the same in a large fleet, where a word takes three to five steps. At
+	loadReportInterval = 120 * time.Millisecond
+	// loadRelayInterval is the same in a large fleet, where a word takes three to five steps. At
 	// 50 ms a step the heaviest day of 82 instances is worth 0.15 more than at 120, as users
 	// value their answers, and no less than at 30; it costs an instance 0.3% of a core.
-	loadEveryStep = 50 * time.Millisecond
-	// otherZonesStep is how many steps pass from one word to another zone to the next: those
+	loadRelayInterval = 50 * time.Millisecond
+	// crossZoneEvery is how many steps pass from one word to another zone to the next: those
 	// bytes are dear, and at 295 instances before 256 targets these words are some half of
 	// them (estimated: ten instances, nine others, 3 kB, 20 a second). Half as often costs
 	// the heaviest day of 82 instances nothing (worth 0.562 against 0.545 and 0.547); a
 	// quarter as often costs it 0.03.
-	otherZonesStep = 2
-	// loadAge is how long a peer's word counts; it fades until then, since targets
+	crossZoneEvery = 2
+	// loadReportTTL is how long a peer's word counts; it fades until then, since targets
 	// work on what waits.
-	loadAge = 360 * time.Millisecond
+	loadReportTTL = 360 * time.Millisecond
 )
 
-// Loads is what an instance has under way at all targets. In a large fleet it includes
+// LoadReport is what an instance has under way at all targets. In a large fleet it includes
 // what the others have from whom the receiver does not hear but by way of this one.
-type Loads struct {
+type LoadReport struct {
 	From    string       `cbor:"1,keyasint"`
 	Seq     uint64       `cbor:"2,keyasint"` // rises with each word of a process
 	Targets []loads.Load `cbor:"3,keyasint,omitempty"`
 	// Silent are targets that answer nothing, by what is told in the same way.
 	Silent []loads.Silent `cbor:"4,keyasint,omitempty"`
-	// Heard are targets that others told to be silent and that have answered, MS ago.
-	Heard []loads.Silent `cbor:"6,keyasint,omitempty"`
-	// Seen is up to where the teller of a small fleet knows the cache stores: what it asked for
+	// Ack are targets that others told to be silent and that have answered, AgeMS ago.
+	Answered []loads.Silent `cbor:"6,keyasint,omitempty"`
+	// StorePositions is up to where the teller of a small fleet knows the cache stores: what it asked for
 	// before it knew as much, and is not over, is in Late.
-	Seen []StoreSeen `cbor:"7,keyasint,omitempty"`
-	// Late are parts whose saves are late, by what is told in the same way.
-	Late []loads.Key `cbor:"5,keyasint,omitempty"`
+	StorePositions []StorePosition `cbor:"7,keyasint,omitempty"`
+	// PendingSaves are parts whose saves are late, by what is told in the same way.
+	PendingSaves []loads.Key `cbor:"5,keyasint,omitempty"`
 }
 
-// Heard is the answer to Loads.
-type Heard struct{}
+// Ack is the answer to Loads.
+type Ack struct{}
 
 // Loads takes a peer's word.
-func (h *peerHandler) Loads(req *Loads, _ *Heard) error {
-	h.g.others.Take(req.From, req.Seq, req.Targets, h.g.now())
-	h.g.silences.Take(req.From, req.Seq, req.Silent, h.g.now())
-	h.g.silences.TakeHeard(req.From, req.Seq, req.Heard, h.g.now())
-	h.g.lateSaves.Take(req.From, req.Seq, req.Late, h.g.now())
-	h.g.seen.take(req.From, req.Seq, req.Seen, h.g.now()) // after Late
+func (h *peerHandler) Loads(req *LoadReport, _ *Ack) error {
+	h.g.peerLoads.Take(req.From, req.Seq, req.Targets, h.g.now())
+	h.g.peerSilences.Take(req.From, req.Seq, req.Silent, h.g.now())
+	h.g.peerSilences.TakeHeard(req.From, req.Seq, req.Answered, h.g.now())
+	h.g.peerPendingSaves.Take(req.From, req.Seq, req.PendingSaves, h.g.now())
+	h.g.storePositions.record(req.From, req.Seq, req.StorePositions, h.g.now()) // after Late
 	return nil
 }
 
 // ownLoads is what this instance has under way.
 func (g *Gateway) ownLoads() loads.Sums {
 	out := loads.Sums{}
-	g.upstream.work.Each(func(target string, load *inflight.Load) {
+	g.upstream.inflight.Each(func(target string, load *inflight.Load) {
 		out.Add(loads.KeyOf(target), loads.Amount{Tokens: int(load.Tokens.Load()), Memory: int(load.Memory.Load())})
 	})
 	return out
 }
 
-// ownSilences are the targets that have answered this instance nothing for as long as an
+// ownSilentTargets are the targets that have answered this instance nothing for as long as an
 // answer may take.
-func (g *Gateway) ownSilences() []loads.Silent {
+func (g *Gateway) ownSilentTargets() []loads.Silent {
 	var out []loads.Silent
 	now := g.now()
-	g.upstream.work.Each(func(target string, load *inflight.Load) {
-		if silent := load.Silence.For(now); silent >= answerDue && len(out) < loads.MostSilent {
+	g.upstream.inflight.Each(func(target string, load *inflight.Load) {
+		if silent := load.Silence.For(now); silent >= silenceThreshold && len(out) < loads.MostSilent {
 			out = append(out, loads.Silent{Target: loads.KeyOf(target), MS: silent.Milliseconds()})
 		}
 	})
 	return out
 }
 
-// ownHeard are the targets that others tell to be silent and that have answered this instance
+// ownAnswered are the targets that others tell to be silent and that have answered this instance
 // since.
-func (g *Gateway) ownHeard(silences map[string][]loads.Silent) []loads.Silent {
+func (g *Gateway) ownAnswered(silences map[string][]loads.Silent) []loads.Silent {
 	var out []loads.Silent
 	now := g.now()
 	since := map[loads.Key]int64{} // for how many ms
@@ -95,7 +95,7 @@
 	if len(since) == 0 {
 		return nil
 	}
-	g.upstream.work.Each(func(target string, load *inflight.Load) {
+	g.upstream.inflight.Each(func(target string, load *inflight.Load) {
 		k := loads.KeyOf(target)
 		ms, told := since[k]
 		ago := now.Sub(load.Silence.Heard()).Milliseconds()
@@ -106,64 +106,64 @@
 	return out
 }
 
-// loadPace is the time between two words.
-func (g *Gateway) loadPace() time.Duration {
+// loadReportPace is the time between two words.
+func (g *Gateway) loadReportPace() time.Duration {
 	if g.view.Load().Tree.small {
-		return loadEvery
+		return loadReportInterval
 	}
-	return loadEveryStep
+	return loadRelayInterval
 }
 
-// tellLoads tells the neighbours what is under way, which targets are silent and which saves
+// reportLoads tells the neighbours what is under way, which targets are silent and which saves
 // are late, as long as there is any.
-func (g *Gateway) tellLoads(ctx context.Context) {
+func (g *Gateway) reportLoads(ctx context.Context) {
 	told := map[string]bool{} // neighbours whose last word was not empty
-	for seq := uint64(1); wait.For(ctx, g.loadPace()); seq++ {
-		own, others := g.ownLoads(), g.others.Words(g.now())
-		silent, silences := g.ownSilences(), g.silences.Words(g.now())
-		heard, hearers := g.ownHeard(silences), g.silences.HeardWords(g.now())
-		seen := g.cache.ownSeen() // before the saves
-		late, lates := g.cache.ownLate(), g.lateSaves.Words(g.now())
+	for seq := uint64(1); wait.For(ctx, g.loadReportPace()); seq++ {
+		own, others := g.ownLoads(), g.peerLoads.Words(g.now())
+		silent, silences := g.ownSilentTargets(), g.peerSilences.Words(g.now())
+		heard, hearers := g.ownAnswered(silences), g.peerSilences.HeardWords(g.now())
+		seen := g.cache.ownPositions() // before the saves
+		late, lates := g.cache.ownPendingSaves(), g.peerPendingSaves.Words(g.now())
 		tree := g.view.Load().Tree
 		for _, n := range tree.neighbours() {
-			if tree.far(n.Member) && seq%otherZonesStep != 0 {
+			if tree.isCrossZone(n.Member) && seq%crossZoneEvery != 0 {
 				continue
 			}
-			l := &Loads{From: g.settings().Name, Seq: seq, Targets: n.share(own, others).Told(), Silent: n.shareSilences(silent, silences), Heard: n.shareHeard(heard, hearers), Late: n.shareLate(late, lates), Seen: seen}
-			news := len(l.Targets)+len(l.Silent)+len(l.Heard)+len(l.Late)+len(l.Seen) > 0
+			l := &LoadReport{From: g.settings().Name, Seq: seq, Targets: n.loadsToReport(own, others).Told(), Silent: n.silencesToReport(silent, silences), Answered: n.answeredToReport(heard, hearers), PendingSaves: n.pendingSavesToReport(late, lates), StorePositions: seen}
+			news := len(l.Targets)+len(l.Silent)+len(l.Answered)+len(l.PendingSaves)+len(l.StorePositions) > 0
 			if !news && !told[n.Name] {
 				continue
 			}
 			told[n.Name] = news
-			g.start(func() { g.tellLoad(n.Member, l) })
+			g.spawn(func() { g.sendLoadReport(n.Member, l) })
 		}
 	}
 }
 
-// share is what a neighbour is told: all that this instance knows of but what the neighbour
+// loadsToReport is what a neighbour is told: all that this instance knows of but what the neighbour
 // told it, and what the neighbour hears for itself.
-func (n neighbour) share(own loads.Sums, others map[string]loads.Sums) loads.Sums {
+func (n neighbour) loadsToReport(own loads.Sums, others map[string]loads.Sums) loads.Sums {
 	out := maps.Clone(own)
 	for from, sums := range others {
-		if n.relayed[from] {
+		if n.relayedFrom[from] {
 			out.AddAll(sums)
 		}
 	}
 	return out
 }
 
-// shareSilences is share for silent targets: the longest silence counts.
-func (n neighbour) shareSilences(own []loads.Silent, others map[string][]loads.Silent) []loads.Silent {
-	return n.shareTimes(own, others, func(a, b int64) int64 { return max(a, b) })
+// silencesToReport is share for silent targets: the longest silence counts.
+func (n neighbour) silencesToReport(own []loads.Silent, others map[string][]loads.Silent) []loads.Silent {
+	return n.mergeTimes(own, others, func(a, b int64) int64 { return max(a, b) })
 }
 
-// shareHeard is share for targets that answer: the latest answer counts.
-func (n neighbour) shareHeard(own []loads.Silent, others map[string][]loads.Silent) []loads.Silent {
-	return n.shareTimes(own, others, func(a, b int64) int64 { return min(a, b) })
+// answeredToReport is share for targets that answer: the latest answer counts.
+func (n neighbour) answeredToReport(own []loads.Silent, others map[string][]loads.Silent) []loads.Silent {
+	return n.mergeTimes(own, others, func(a, b int64) int64 { return min(a, b) })
 }
 
-// shareTimes is share for what is told with a time; which says which of two counts.
-func (n neighbour) shareTimes(own []loads.Silent, others map[string][]loads.Silent, which func(a, b int64) int64) []loads.Silent {
+// mergeTimes is share for what is told with a time; which says which of two counts.
+func (n neighbour) mergeTimes(own []loads.Silent, others map[string][]loads.Silent, which func(a, b int64) int64) []loads.Silent {
 	times := map[loads.Key]int64{}
 	add := func(told []loads.Silent) {
 		for _, t := range told {
@@ -176,7 +176,7 @@
 	}
 	add(own)
 	for from, told := range others {
-		if n.relayed[from] {
+		if n.relayedFrom[from] {
 			add(told)
 		}
 	}
@@ -190,10 +190,10 @@
 	return out
 }
 
-// tellLoad sends one word. A lost one is replaced by the next; silence is the
+// sendLoadReport sends one word. A lost one is replaced by the next; silence is the
 // business of probes.
-func (g *Gateway) tellLoad(m member.Member, l *Loads) {
-	ctx, cancel := context.WithTimeout(g.ctx, loadAge)
+func (g *Gateway) sendLoadReport(m member.Member, l *LoadReport) {
+	ctx, cancel := context.WithTimeout(g.ctx, loadReportTTL)
 	defer cancel()
-	_ = g.pool.Call(ctx, m.Address, peerService+".Loads", l, &Heard{})
+	_ = g.pool.Call(ctx, m.Address, peerService+".Loads", l, &Ack{})
 }
--- a/internal/gateway/load_reports_test.go
+++ b/internal/gateway/load_reports_test.go
@@ -15,10 +15,10 @@
 	for _, c := range []struct{ n, zones, most, rounds int }{{1, 1, 0, 1}, {9, 4, 8, 1}, {16, 3, 15, 1}, {17, 3, 17, 3}, {82, 4, 19, 3}, {300, 3, 17, 5}, {330, 7, 19, 5}} {
 		t.Run(fmt.Sprintf("%d in %d", c.n, c.zones), func(t *testing.T) {
 			is := is.New(t)
-			all := fleetOf(c.n, c.zones)
-			trees, heard := map[string]*tree{}, map[string]map[string]loads.Sums{}
+			all := membersOf(c.n, c.zones)
+			trees, heard := map[string]*relayTree{}, map[string]map[string]loads.Sums{}
 			for _, m := range all {
-				trees[m.Name], heard[m.Name] = newTree(all, m), map[string]loads.Sums{}
+				trees[m.Name], heard[m.Name] = newRelayTree(all, m), map[string]loads.Sums{}
 			}
 			for range c.rounds {
 				next := map[string]map[string]loads.Sums{}
@@ -29,7 +29,7 @@
 					own := loads.Sums{loads.KeyOf(m.Name): {Memory: 1000}} // a target of its own shows who is heard of
 					is.True(len(trees[m.Name].neighbours()) <= c.most)
 					for _, n := range trees[m.Name].neighbours() {
-						next[n.Name][m.Name] = n.share(own, heard[m.Name])
+						next[n.Name][m.Name] = n.loadsToReport(own, heard[m.Name])
 					}
 				}
 				heard = next
--- a/internal/gateway/log.go
+++ b/internal/gateway/log.go
@@ -57,16 +57,16 @@
 	<-l.ended
 }
 
-// successLines is how many requests a second get their line if all is well with
+// maxSuccessLines is how many requests a second get their line if all is well with
 // them. Failures always do.
-const successLines = 100
+const maxSuccessLines = 100
 
 // sampler lets a number of lines through each second and counts the others.
 type sampler struct {
 	mu      sync.Mutex
 	second  time.Time
 	written int
-	left    int64 // left out since the last line
+	dropped int64 // left out since the last line
 }
 
 // allow says whether a line may be written at now, and how many were left out
@@ -77,12 +77,12 @@
 	if now.Sub(s.second) >= time.Second {
 		s.second, s.written = now, 0
 	}
-	if s.written >= successLines {
-		s.left++
+	if s.written >= maxSuccessLines {
+		s.dropped++
 		return false, 0
 	}
 	s.written++
-	leftOut, s.left = s.left, 0
+	leftOut, s.dropped = s.dropped, 0
 	return true, leftOut
 }
 
--- a/internal/gateway/log_test.go
+++ b/internal/gateway/log_test.go
@@ -13,9 +13,9 @@
 	is := is.New(t)
 	var s sampler
 	now := time.Unix(100, 0)
-	for i := range successLines + 5 {
+	for i := range maxSuccessLines + 5 {
 		ok, _ := s.allow(now)
-		is.Equal(ok, i < successLines)
+		is.Equal(ok, i < maxSuccessLines)
 	}
 	ok, left := s.allow(now.Add(time.Second))
 	is.True(ok)
--- a/internal/gateway/main.go
+++ b/internal/gateway/main.go
@@ -29,17 +29,17 @@
 	ExitCut      = 3 // the stop cut requests in hand
 )
 
-// Start is what a process is started with.
-type Start struct {
-	Load  func() (*Settings, error) // reads the settings, again on SIGHUP
-	Ports func(*Settings) Ports
+// StartOptions is what a process is started with.
+type StartOptions struct {
+	LoadSettings func() (*Settings, error) // reads the settings, again on SIGHUP
+	NewPorts     func(*Settings) Ports
 	// Without names the mechanisms that an experiment leaves out, see policy.Names.
 	Without []string
 }
 
-// load reads the settings, and leaves out what an experiment leaves out.
-func (s Start) load() (*Settings, error) {
-	set, err := s.Load()
+// loadSettings reads the settings, and leaves out what an experiment leaves out.
+func (s StartOptions) loadSettings() (*Settings, error) {
+	set, err := s.LoadSettings()
 	if err != nil {
 		return nil, err
 	}
@@ -47,14 +47,14 @@
 	return set, err
 }
 
-// settingsEvery is how often the settings file is looked at: it may change
+// settingsPollInterval is how often the settings file is looked at: it may change
 // without a signal.
-const settingsEvery = 2 * time.Second
+const settingsPollInterval = 2 * time.Second
 
 // reloadChanged takes settings that changed without a signal.
-func reloadChanged(g *Gateway, s Start, logger log.Interface, last Settings) {
-	for wait.For(g.ctx, settingsEvery) {
-		next, err := s.load()
+func reloadChanged(g *Gateway, s StartOptions, logger log.Interface, last Settings) {
+	for wait.For(g.ctx, settingsPollInterval) {
+		next, err := s.loadSettings()
 		if err != nil {
 			logger.WithError(err).Warn("settings not readable, those before stay in force")
 			continue
@@ -68,7 +68,7 @@
 }
 
 // Main runs the command with its arguments and returns the exit code, see Run.
-func Main(s Start, args []string, stdout, stderr io.Writer) int {
+func Main(s StartOptions, args []string, stdout, stderr io.Writer) int {
 	code := ExitOK
 	cmd := &cobra.Command{
 		Use:           "shedhoistd hosted",
@@ -95,7 +95,7 @@
 
 // Run serves until a signal ends it and returns the exit code. SIGTERM and
 // SIGINT stop it, a second one at once; SIGHUP reloads the settings.
-func Run(s Start, stdout io.Writer) int {
+func Run(s StartOptions, stdout io.Writer) int {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	defer signal.Stop(signals)
@@ -103,23 +103,23 @@
 	defer lines.Close()
 	logger := NewLogger(lines)
 	logline.Capture(logger)
-	set, err := s.load()
+	set, err := s.loadSettings()
 	if err != nil {
 		logger.WithError(err).Error("settings refused")
 		return ExitSettings
 	}
-	g, err := New(set, s.Ports(set), logger)
+	g, err := New(set, s.NewPorts(set), logger)
 	if err != nil {
 		logger.WithError(err).Error("not started")
 		return ExitFailed
 	}
 	g.Start()
-	g.start(func() { reloadChanged(g, s, logger, *set) })
+	g.spawn(func() { reloadChanged(g, s, logger, *set) })
 	for sig := range signals {
 		if sig != syscall.SIGHUP {
 			break
 		}
-		next, err := s.load()
+		next, err := s.loadSettings()
 		if err != nil {
 			logger.WithError(err).Error("settings refused, those before stay in force")
 			continue
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -9,25 +9,25 @@
 	"github.com/shedhoist/shedhoist/internal/registry"
 )
 
-// hearWord takes what a target says of itself in an answer.
-func (g *Gateway) hearWord(t *catalog.Target, w Word, by registry.Teller) {
+// applyNotice takes what a target says of itself in an answer.
+func (g *Gateway) applyNotice(t *catalog.Target, w Notice, by registry.Teller) {
 	if w.Leaving {
 		metric.LeavingWords.Inc()
-		g.hearLeaving(t, by)
+		g.noteLeaving(t, by)
 	}
-	if w.Rest > 0 {
+	if w.Backoff > 0 {
 		metric.RestWords.Inc()
-		g.giveRest(t, w.Rest, by)
+		g.applyBackoff(t, w.Backoff, by)
 	}
 }
 
-// giveRest keeps callers' requests from a target that wants none for some time. Each instance
+// applyBackoff keeps callers' requests from a target that wants none for some time. Each instance
 // goes by what it was told itself: a target asks those of which it gets too much.
-func (g *Gateway) giveRest(t *catalog.Target, rest time.Duration, by registry.Teller) {
-	if next := g.answering(t, by); next != t {
+func (g *Gateway) applyBackoff(t *catalog.Target, rest time.Duration, by registry.Teller) {
+	if next := g.respondingIncarnation(t, by); next != t {
 		t, rest = next, min(rest, registry.InheritedMost)
 	}
-	until, news := g.ejected.AskInAnswer(t.ID, rest, by.Sent)
+	until, news := g.breaker.AskInAnswer(t.ID, rest, by.Sent)
 	if !news {
 		return
 	}
@@ -35,9 +35,9 @@
 		WithField("from", by.From).WithField("by", by.By).Info("target asks for rest")
 }
 
-// answering is the life of a target that gave an answer: not the one that was meant, if another
+// respondingIncarnation is the life of a target that gave an answer: not the one that was meant, if another
 // has been listed meanwhile that had started before the request was sent.
-func (g *Gateway) answering(meant *catalog.Target, by registry.Teller) *catalog.Target {
+func (g *Gateway) respondingIncarnation(meant *catalog.Target, by registry.Teller) *catalog.Target {
 	if by.Sent.IsZero() {
 		return meant
 	}
@@ -53,9 +53,9 @@
 	return meant
 }
 
-// reporter is the life of a target that gave a report: not the one that was asked, if that is
+// reportingIncarnation is the life of a target that gave a report: not the one that was asked, if that is
 // over.
-func reporter(asked *catalog.Target, r Report) *catalog.Target {
+func reportingIncarnation(asked *catalog.Target, r Report) *catalog.Target {
 	if r.Start == 0 || asked.Start == 0 || r.Start == asked.Start {
 		return asked
 	}
@@ -63,11 +63,11 @@
 	return &other
 }
 
-// wordOf is the word that came with the answer to a call, or with its refusal.
-func wordOf(w Word, err error) Word {
+// noticeOf is the word that came with the answer to a call, or with its refusal.
+func noticeOf(w Notice, err error) Notice {
 	var call *CallError
 	if errors.As(err, &call) {
-		return call.Word
+		return call.Notice
 	}
 	return w
 }
--- a/internal/gateway/order_notices_test.go
+++ b/internal/gateway/order_notices_test.go
@@ -12,24 +12,24 @@
 	"github.com/shedhoist/shedhoist/internal/catalog"
 )
 
-// orderedEngines answer orders with a word.
-type orderedEngines struct {
+// orderEngines answer orders with a word.
+type orderEngines struct {
 	Engines
 	status int
-	word   Word
+	notice Notice
 }
 
 // Load implements Engines.
-func (e orderedEngines) Load(context.Context, LoadOrder) (Word, error) {
+func (e orderEngines) Load(context.Context, LoadOrder) (Notice, error) {
 	if e.status != http.StatusAccepted {
-		return e.word, &CallError{Call: "order", Status: e.status, Word: e.word}
+		return e.notice, &CallError{Call: "order", Status: e.status, Notice: e.notice}
 	}
-	return e.word, nil
+	return e.notice, nil
 }
 
-// orderOne gives an order to a target, with the lease held.
-func (f *trafficFleet) orderOne(is *is.I, target string, e orderedEngines) {
-	g := f.gates[0]
+// sendOrder gives an order to a target, with the lease held.
+func (f *trafficFleet) sendOrder(is *is.I, target string, e orderEngines) {
+	g := f.gateways[0]
 	e.Engines = g.engines
 	g.engines = e
 	g.rollout.mu.Lock()
@@ -37,7 +37,7 @@
 	g.rollout.mu.Unlock()
 	for _, t := range g.view.Load().Targets {
 		if t.Name == target {
-			refusal := g.rollout.order(f.t.Context(), "m", 2, t, 0)
+			refusal := g.rollout.sendOrder(f.t.Context(), "m", 2, t, 0)
 			is.Equal(refusal == "", e.status == http.StatusAccepted || e.status == http.StatusConflict)
 		}
 	}
@@ -53,10 +53,10 @@
 				is := is.New(t)
 				f := newLeavingFleet(t, 3, 3)
 				defer f.end()
-				f.orderOne(is, f.speakers[0].name, orderedEngines{status: status, word: Word{Leaving: true}})
-				f.press(f.all(), pathSafe, 5*time.Millisecond, time.Second)
-				is.Equal(f.speakers[0].arrived(""), 0)
-				is.True(f.speakers[1].arrived("") > 0)
+				f.sendOrder(is, f.leavingTargets[0].name, orderEngines{status: status, notice: Notice{Leaving: true}})
+				f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
+				is.Equal(f.leavingTargets[0].arrived(""), 0)
+				is.True(f.leavingTargets[1].arrived("") > 0)
 				is.Equal(f.failures(), 0)
 			})
 		})
@@ -69,10 +69,10 @@
 	const rest = 2 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newRestFleet(t, 1, served)
+		f := newBackoffFleet(t, 1, served)
 		defer f.end()
-		f.orderOne(is, f.asking[0].name, orderedEngines{status: http.StatusServiceUnavailable, word: Word{Rest: rest}})
-		is.True(f.send(0, pathSafe, "x").ours())
+		f.sendOrder(is, f.loadGenerators[0].name, orderEngines{status: http.StatusServiceUnavailable, notice: Notice{Backoff: rest}})
+		is.True(f.send(0, pathSafe, "x").isLocal())
 		time.Sleep(rest)
 		is.Equal(f.send(0, pathSafe, "x").status, http.StatusOK)
 	})
@@ -87,23 +87,23 @@
 				is := is.New(t)
 				f := newLeavingFleet(t, 1, 2)
 				defer f.end()
-				s := f.speakers[0]
-				f.silence(true)
+				s := f.leavingTargets[0]
+				f.silenceStore(true)
 				if again == 0 {
-					s.end()
-					s.begin()
+					s.stop()
+					s.start()
 				}
-				f.orderOne(is, s.name, orderedEngines{status: http.StatusAccepted, word: Word{Leaving: true}})
+				f.sendOrder(is, s.name, orderEngines{status: http.StatusAccepted, notice: Notice{Leaving: true}})
 				if again > 0 {
-					s.end()
+					s.stop()
 					time.Sleep(again)
-					s.begin()
+					s.start()
 				}
-				f.silence(false)
+				f.silenceStore(false)
 				time.Sleep(3 * time.Second)
-				f.press(f.all(), pathSafe, 5*time.Millisecond, time.Second)
+				f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
 				is.Equal(s.arrived("") > 0, again > 0)
-				is.True(f.gates[0].view.Load().Targets[catalog.Target{Name: s.name, Start: s.born}.Identify().ID] != nil)
+				is.True(f.gateways[0].view.Load().Targets[catalog.Target{Name: s.name, Start: s.startedAt}.Identify().ID] != nil)
 			})
 		})
 	}
--- a/internal/gateway/peer_silences_test.go
+++ b/internal/gateway/peer_silences_test.go
@@ -15,13 +15,13 @@
 // hear of in a large fleet, and against words that return to their teller.
 func TestSilencesAreRelayed(t *testing.T) {
 	is := is.New(t)
-	n := neighbour{relayed: map[string]bool{"child": true}}
+	n := neighbour{relayedFrom: map[string]bool{"child": true}}
 	others := map[string][]loads.Silent{
 		"child":  {{Target: 1, MS: 700}, {Target: 2, MS: 600}},
 		"parent": {{Target: 3, MS: 900}},
 	}
 	got := map[loads.Key]int64{}
-	for _, s := range n.shareSilences([]loads.Silent{{Target: 1, MS: 500}, {Target: 4, MS: 800}}, others) {
+	for _, s := range n.silencesToReport([]loads.Silent{{Target: 1, MS: 500}, {Target: 4, MS: 800}}, others) {
 		got[s.Target] = s.MS
 	}
 	is.Equal(got, map[loads.Key]int64{1: 700, 2: 600, 4: 800})
@@ -51,17 +51,17 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	g := &Gateway{now: func() time.Time { return now }, upstream: newUpstream()}
-	g.upstream.work.Of("silent").Silence.Asked(now.Add(-answerDue))
-	g.upstream.work.Of("busy").Silence.Asked(now.Add(-answerDue + time.Millisecond))
-	is.Equal(g.ownSilences(), []loads.Silent{{Target: loads.KeyOf("silent"), MS: answerDue.Milliseconds()}})
+	g.upstream.inflight.Of("silent").Silence.Asked(now.Add(-silenceThreshold))
+	g.upstream.inflight.Of("busy").Silence.Asked(now.Add(-silenceThreshold + time.Millisecond))
+	is.Equal(g.ownSilentTargets(), []loads.Silent{{Target: loads.KeyOf("silent"), MS: silenceThreshold.Milliseconds()}})
 }
 
 // TestLateSavesAreRelayed guards against late saves that only the instances next to their teller
 // hear of in a large fleet, and against words that return to their teller.
 func TestLateSavesAreRelayed(t *testing.T) {
 	is := is.New(t)
-	n := neighbour{relayed: map[string]bool{"child": true}}
-	got := n.shareLate([]loads.Key{1, 4}, map[string][]loads.Key{"child": {1, 2}, "parent": {3}})
+	n := neighbour{relayedFrom: map[string]bool{"child": true}}
+	got := n.pendingSavesToReport([]loads.Key{1, 4}, map[string][]loads.Key{"child": {1, 2}, "parent": {3}})
 	slices.Sort(got)
 	is.Equal(got, []loads.Key{1, 2, 4})
 }
@@ -74,12 +74,12 @@
 	key := loads.KeyOf("t")
 	waits := []loads.Silent{{Target: key, MS: 2000}}
 	hears := &Gateway{now: func() time.Time { return now }, upstream: newUpstream()}
-	hears.upstream.work.Of("t").Silence.Answered(now.Add(-time.Second))
-	heard := hears.ownHeard(map[string][]loads.Silent{"waits": waits})
+	hears.upstream.inflight.Of("t").Silence.Answered(now.Add(-time.Second))
+	heard := hears.ownAnswered(map[string][]loads.Silent{"waits": waits})
 	is.Equal(heard, []loads.Silent{{Target: key, MS: 1000}})
-	is.Equal(len(hears.ownHeard(map[string][]loads.Silent{"waits": {{Target: key, MS: 900}}})), 0) // silent since
+	is.Equal(len(hears.ownAnswered(map[string][]loads.Silent{"waits": {{Target: key, MS: 900}}})), 0) // silent since
 
-	s := loads.NewSilences(loadAge)
+	s := loads.NewSilences(loadReportTTL)
 	s.Take("waits", 1, waits, now)
 	is.Equal(s.Since(key, now), now.Add(-2*time.Second))
 	s.TakeHeard("hears", 1, heard, now)
@@ -87,6 +87,6 @@
 	s.TakeHeard("hears", 2, nil, now)
 	is.True(!s.Since(key, now).IsZero())
 
-	n := neighbour{relayed: map[string]bool{"hears": true}}
-	is.Equal(n.shareHeard([]loads.Silent{{Target: key, MS: 1500}}, map[string][]loads.Silent{"hears": heard, "elsewhere": {{Target: key}}}), heard)
+	n := neighbour{relayedFrom: map[string]bool{"hears": true}}
+	is.Equal(n.answeredToReport([]loads.Silent{{Target: key, MS: 1500}}, map[string][]loads.Silent{"hears": heard, "elsewhere": {{Target: key}}}), heard)
 }
--- a/internal/gateway/peers_test.go
+++ b/internal/gateway/peers_test.go
@@ -14,14 +14,14 @@
 // startingFleet is a fleet whose instances start at once, without a network: messages
 // arrive when they are sent.
 type startingFleet struct {
-	byAddress map[string]*control
+	byAddress map[string]*controlState
 	names     []string
 	now       time.Time
 	lists     int // whole lists of members that were handed over
 }
 
 func newStartingFleet(n int) *startingFleet {
-	f := &startingFleet{byAddress: map[string]*control{}, now: at0}
+	f := &startingFleet{byAddress: map[string]*controlState{}, now: at0}
 	r := rand.New(rand.NewPCG(1, 2))
 	for i := range n {
 		name := fmt.Sprintf("e-%03d", i)
@@ -36,29 +36,29 @@
 }
 
 // send lets one instance greet another, as Gateway.hello and peerHandler.Hello do.
-func (f *startingFleet) send(c *control, probe member.Probe, hello *Hello) {
+func (f *startingFleet) send(c *controlState, probe member.Probe, hello *HelloRequest) {
 	to := f.byAddress[probe.Address]
-	reply := to.welcome(hello)
+	reply := to.replyHello(hello)
 	if hello.Join {
 		f.lists++
 	}
-	helloEnded{probe: probe, ok: true, reply: reply}.apply(c)
-	if to.lacksMembers(hello.Members) {
+	probeEnded{probe: probe, ok: true, reply: reply}.apply(c)
+	if to.needsMembers(hello.LiveMembers) {
 		f.join(to, c.members.Self().Address)
 	}
-	if c.lacksMembers(reply.Members) {
+	if c.needsMembers(reply.LiveMembers) {
 		f.join(c, probe.Address)
 	}
 }
 
-func (f *startingFleet) join(c *control, address string) {
-	hello := c.greeting(false)
+func (f *startingFleet) join(c *controlState, address string) {
+	hello := c.newHello(false)
 	hello.Join = true
 	f.send(c, member.Probe{Address: address}, hello)
 }
 
-// knowAll is how many instances know all.
-func (f *startingFleet) knowAll() int {
+// allKnown is how many instances know all.
+func (f *startingFleet) allKnown() int {
 	n := 0
 	for _, c := range f.byAddress {
 		if c.members.Live() == len(f.names) {
@@ -79,13 +79,13 @@
 				f.join(f.byAddress[name], f.names[i%min(3, i+1)])
 			}
 			periods := 0
-			for ; f.knowAll() < n && periods < 60; periods++ {
+			for ; f.allKnown() < n && periods < 60; periods++ {
 				f.now = f.now.Add(peerPeriod)
 				for _, name := range f.names {
 					c := f.byAddress[name]
 					for _, p := range c.members.Tick(f.now) {
-						hello := c.greeting(false)
-						hello.Updates = p.Updates
+						hello := c.newHello(false)
+						hello.Members = p.Updates
 						f.send(c, p, hello)
 					}
 				}
--- a/internal/gateway/ports.go
+++ b/internal/gateway/ports.go
@@ -20,31 +20,31 @@
 	EvacuationsKind() string
 	// ConfigName names the one object of its kind that holds the configuration.
 	ConfigName() string
-	// Config, Target and NamedVersion decode an object's value.
-	Config(value []byte) (*catalog.Config, error)
-	Target(name string, value []byte) (catalog.Target, error)
-	NamedVersion(name string, value []byte) (catalog.ModelVersion, error)
+	// Config, Target and DecodeNamedVersion decode an object's value.
+	DecodeConfig(value []byte) (*catalog.Config, error)
+	DecodeTarget(name string, value []byte) (catalog.Target, error)
+	DecodeNamedVersion(name string, value []byte) (catalog.ModelVersion, error)
 
-	// ReadCall decodes a caller's header.
-	ReadCall(h http.Header) (Call, error)
+	// ParseRequest decodes a caller's header.
+	ParseRequest(h http.Header) (CallerRequest, error)
 	// ForwardHeader is the header of an attempt at a target: the caller's, without
 	// what concerns its connection and what only we may set.
 	ForwardHeader(in http.Header, a Attempt) http.Header
-	// ReadAnswer decodes a target's answer.
-	ReadAnswer(status int, h http.Header) Answer
-	// AnswerHeader is a target's header as the caller gets it.
-	AnswerHeader(in http.Header) http.Header
-	// RefuseHeader completes the header of an answer of our own.
-	RefuseHeader(h http.Header, id string, retryAfter time.Duration)
+	// ParseResponse decodes a target's answer.
+	ParseResponse(status int, h http.Header) TargetResponse
+	// CallerResponseHeader is a target's header as the caller gets it.
+	CallerResponseHeader(in http.Header) http.Header
+	// ProblemHeader completes the header of an answer of our own.
+	ProblemHeader(h http.Header, id string, retryAfter time.Duration)
 }
 
-// Call is what a caller's header says.
-type Call struct {
-	ID        string
-	Key       string
-	Patience  time.Duration // how long the caller waits; 0: not said
-	LastEvent string        // the caller goes on behind this event of a broken stream
-	Prompt    *Prompt       // nil: a plain request
+// CallerRequest is what a caller's header says.
+type CallerRequest struct {
+	ID          string
+	APIKey      string
+	Timeout     time.Duration // how long the caller waits; 0: not said
+	LastEventID string        // the caller goes on behind this event of a broken stream
+	Prompt      *Prompt       // nil: a plain request
 }
 
 // Prompt describes a model request.
@@ -55,10 +55,10 @@
 	Parts     []Part // in order; the last is the request's own
 }
 
-// keeps is how much of a target's memory the request will keep while it runs, in tokens:
+// memoryTokens is how much of a target's memory the request will keep while it runs, in tokens:
 // its prompt, and half of the longest answer, since callers ask for twice what most get.
 // 0 for a plain request.
-func (c *Call) keeps() int {
+func (c *CallerRequest) memoryTokens() int {
 	if c.Prompt == nil {
 		return 0
 	}
@@ -73,11 +73,11 @@
 
 // Attempt is what a target is told beyond the caller's words.
 type Attempt struct {
-	Target    string // name of the one that is meant
-	Customer  string // "": none
-	Remaining time.Duration
-	LastEvent string // go on behind this event
-	Model     *ModelAttempt
+	Target      string // name of the one that is meant
+	Customer    string // "": none
+	Remaining   time.Duration
+	LastEventID string // go on behind this event
+	Model       *ModelAttempt
 }
 
 // ModelAttempt is the part of an Attempt that only model servers read.
@@ -96,23 +96,23 @@
 	SaveTo      string // address; "": nowhere
 }
 
-// Answer is what the header of a target's answer says.
-type Answer struct {
-	ID            string
-	Signed        bool // the target vouches for it as an answer to a request
-	NotRun        bool // the request did not run and never will
-	Misdirected   bool // another incarnation, or other weights, than meant
-	Encoded       bool // something on the way changed the body's encoding
-	WeightVersion uint64
-	RetryAfter    time.Duration
-	KeptFor       time.Duration // how long the target keeps an unused connection; 0: not said
-	Word          Word
+// TargetResponse is what the header of a target's answer says.
+type TargetResponse struct {
+	ID               string
+	Signed           bool // the target vouches for it as an answer to a request
+	NotExecuted      bool // the request did not run and never will
+	Misdirected      bool // another incarnation, or other weights, than meant
+	Encoded          bool // something on the way changed the body's encoding
+	WeightVersion    uint64
+	RetryAfter       time.Duration
+	KeepAliveTimeout time.Duration // how long the target keeps an unused connection; 0: not said
+	Notice           Notice
 }
 
-// Word is what a target says of itself in the header of any answer.
-type Word struct {
+// Notice is what a target says of itself in the header of any answer.
+type Notice struct {
 	Leaving bool          // it takes no new requests
-	Rest    time.Duration // it turned this instance away, and wants no requests from it for so long; 0: not said
+	Backoff time.Duration // it turned this instance away, and wants no requests from it for so long; 0: not said
 }
 
 // Engines makes the calls to targets and cache stores that are not callers'
@@ -121,7 +121,7 @@
 	Report(ctx context.Context, address, id string) (Report, error)
 	// Load orders weights; nil means that the order was accepted or holds already. The word is
 	// what the target says of itself; that of a refusal is in the CallError.
-	Load(ctx context.Context, o LoadOrder) (Word, error)
+	Load(ctx context.Context, o LoadOrder) (Notice, error)
 	// CacheEvents returns the events from since on, waiting for some.
 	CacheEvents(ctx context.Context, address string, since uint64, wait time.Duration) (CacheEvents, error)
 	CacheList(ctx context.Context, address string) (CacheList, error)
@@ -134,10 +134,10 @@
 type Report struct {
 	Start           int64 // of the life that answers, Unix ms by the target's clock; 0: not told
 	Models          []catalog.ModelVersion
-	Ordered         bool   // an order is being carried out
+	OrderInProgress bool   // an order is being carried out
 	OrderSeq        uint64 // orders accepted since the start
 	Queued, Running int
-	Word            Word
+	Notice          Notice
 }
 
 // LoadOrder asks a target for a weight version.
@@ -148,7 +148,7 @@
 	Holder          string
 	Token           uint64 // fencing token
 	ExpectedSeq     uint64 // the order is void if the target has accepted others since
-	Cut             bool   // break the model's runs off instead of waiting for their ends
+	InterruptRuns   bool   // break the model's runs off instead of waiting for their ends
 }
 
 // CacheEvents is a page of events of what a store holds.
@@ -178,7 +178,7 @@
 	Address string
 	Call    string
 	Status  int // 0: no answer
-	Word    Word
+	Notice  Notice
 	Cause   error
 }
 
--- a/internal/gateway/prompt.go
+++ b/internal/gateway/prompt.go
@@ -15,41 +15,41 @@
 	tokens int
 }
 
-// cacheWork is what a prompt asks of one target.
-type cacheWork struct {
+// promptWork is what a prompt asks of one target.
+type promptWork struct {
 	place.Work
 	fetch []bool // the parts to fetch
 }
 
 // cachePlan is where the parts of a prompt come from and where they are kept.
 type cachePlan struct {
-	version uint64 // weight version that the plan is for
-	parts   []PartPlan
-	fetches int
-	saved   []stock.Key
-	save    *stock.Save // notes when what is saved is over; nil: nothing is saved
-	// silentMS is how long the target had been silent if that kept saves back, else 0.
-	silentMS int64
+	weightVersion uint64 // weight version that the plan is for
+	parts         []PartPlan
+	fetchCount    int
+	savedKeys     []stock.Key
+	pendingSave   *stock.Save // notes when what is saved is over; nil: nothing is saved
+	// targetSilentMS is how long the target had been silent if that kept saves back, else 0.
+	targetSilentMS int64
 }
 
 // lowestPriority is the least urgent value that model servers know.
 const lowestPriority = 9
 
-// salt is the text under which the prompt's parts are cached with weights of a version.
-func (x *exchange) salt(version uint64) string {
+// cacheSalt is the text under which the prompt's parts are cached with weights of a version.
+func (x *exchange) cacheSalt(version uint64) string {
 	return stock.Salt{Wall: x.view.Config.Wall(x.customer), Model: x.call.Prompt.Model, Version: version}.String()
 }
 
-// sourcesOf finds the prompt's parts in the stores, once for each version and attempt.
-func (x *exchange) sourcesOf(version uint64) []partSource {
-	if found, ok := x.sources[version]; ok {
+// partSourcesFor finds the prompt's parts in the stores, once for each version and attempt.
+func (x *exchange) partSourcesFor(version uint64) []partSource {
+	if found, ok := x.partSources[version]; ok {
 		return found
 	}
-	if x.sources == nil {
-		x.sources = map[uint64][]partSource{}
+	if x.partSources == nil {
+		x.partSources = map[uint64][]partSource{}
 	}
-	found := x.g.cache.sources(x.view.Config.Stores, x.salt(version), x.call.Prompt.Parts)
-	x.sources[version] = found
+	found := x.g.cache.findParts(x.view.Config.Stores, x.cacheSalt(version), x.call.Prompt.Parts)
+	x.partSources[version] = found
 	return found
 }
 
@@ -58,37 +58,37 @@
 // only where it can be expected to leave much time, and then left to come, even late
 // (docs/ROUTING.md has what other bounds gave).
 const (
-	// fetchShare is how long a fetch may be predicted to take.
-	fetchShare = 0.5
-	// untilShare is how long one that was begun may take before it is given up and the
+	// maxFetchShare is how long a fetch may be predicted to take.
+	maxFetchShare = 0.5
+	// fetchTimeoutShare is how long one that was begun may take before it is given up and the
 	// prompt is read. Callers wait for a first answer for 4 objectives at least.
-	untilShare = 3.0
-	// longestFetch bounds that for any objective: the cache stores' parts are freed, and
+	fetchTimeoutShare = 3.0
+	// maxFetchTime bounds that for any objective: the cache stores' parts are freed, and
 	// written anew after a start, only when no fetch of them can still be under way.
-	longestFetch = 2 * time.Second
+	maxFetchTime = 2 * time.Second
 )
 
 // worthFetching says whether a fetch that is predicted to take ms leaves enough time for
 // the rest of the answer.
 func (x *exchange) worthFetching(ms float64) bool {
-	return ms <= fetchShare*float64(x.route.Objective)/float64(time.Millisecond)-x.sinceMS()
+	return ms <= maxFetchShare*float64(x.route.Objective)/float64(time.Millisecond)-x.elapsedMS()
 }
 
-// fetchUntil is how much longer a fetch that is begun now may take.
-func (x *exchange) fetchUntil() time.Duration {
-	return min(max(time.Duration(untilShare*float64(x.route.Objective))-x.g.now().Sub(x.arrived), 0), longestFetch)
+// fetchTimeout is how much longer a fetch that is begun now may take.
+func (x *exchange) fetchTimeout() time.Duration {
+	return min(max(time.Duration(fetchTimeoutShare*float64(x.route.Objective))-x.g.now().Sub(x.arrived), 0), maxFetchTime)
 }
 
-// workAt says what the prompt asks of a target: a part is fetched if its store
+// promptWorkAt says what the prompt asks of a target: a part is fetched if its store
 // can be expected to deliver it in time. The first part is shared by so many
 // that targets have it: to fetch it takes no time worth counting, unless the target was
 // emptied and the link is slow. x.g.predictorMu
 // is held.
-func (x *exchange) workAt(t *catalog.Target, version uint64, now time.Time) cacheWork {
+func (x *exchange) promptWorkAt(t *catalog.Target, version uint64, now time.Time) promptWork {
 	p := x.call.Prompt
-	w := cacheWork{Work: place.Work{ReadTokens: p.Tokens}, fetch: make([]bool, len(p.Parts))}
+	w := promptWork{Work: place.Work{ReadTokens: p.Tokens}, fetch: make([]bool, len(p.Parts))}
 	largest := 0.0
-	for i, src := range x.sourcesOf(version) {
+	for i, src := range x.partSourcesFor(version) {
 		if src.store == nil {
 			continue
 		}
@@ -110,8 +110,8 @@
 	return w
 }
 
-// zoneFactor is how much longer a transfer takes between zones.
-const zoneFactor = 2.0
+// crossZoneFactor is how much longer a transfer takes between zones.
+const crossZoneFactor = 2.0
 
 // transferMS is the time of a transfer by the speed of its links alone.
 func (x *exchange) transferMS(src partSource, t *catalog.Target) float64 {
@@ -126,7 +126,7 @@
 	}
 	ms := float64(src.tokens) * float64(e.TokenBytes) * 8 / (mbps * 1000)
 	if src.store.Zone != t.Zone {
-		ms *= zoneFactor
+		ms *= crossZoneFactor
 	}
 	return ms + float64(src.store.FirstByte)/float64(time.Millisecond)
 }
@@ -136,26 +136,26 @@
 // so cache of other weights can't be read, whatever this instance believes.
 func (x *exchange) modelAttempt(t *catalog.Target) *ModelAttempt {
 	version := t.VersionOf(x.call.Prompt.Model)
-	salt := x.salt(version)
+	salt := x.cacheSalt(version)
 	now := x.g.now()
-	silent := x.g.upstream.work.Of(t.ID).Silence.Among(x.g.silences.Since(loads.KeyOf(t.ID), now), now)
-	x.plan = x.g.cache.plan(x.view.Config.Stores, salt, version, x.call.Prompt.Parts, x.sourcesOf(version), x.asks.fetch, t.Zone, silent < answerDue && !x.view.Draining)
-	if silent >= answerDue {
-		x.plan.silentMS = silent.Milliseconds()
+	silent := x.g.upstream.inflight.Of(t.ID).Silence.Among(x.g.peerSilences.Since(loads.KeyOf(t.ID), now), now)
+	x.plan = x.g.cache.planParts(x.view.Config.Stores, salt, version, x.call.Prompt.Parts, x.partSourcesFor(version), x.promptWork.fetch, t.Zone, silent < silenceThreshold && !x.view.Draining)
+	if silent >= silenceThreshold {
+		x.plan.targetSilentMS = silent.Milliseconds()
 	}
-	x.plan.save = x.g.cache.beginSave(t.ID, x.plan.saved)
+	x.plan.pendingSave = x.g.cache.beginSave(t.ID, x.plan.savedKeys)
 	x.logSaves(t, salt)
-	return &ModelAttempt{Priority: x.urgency(), Version: version, Salt: salt, Cache: x.plan.parts,
-		FetchUntilMS: x.g.cache.clockMS(x.fetchUntil())}
+	return &ModelAttempt{Priority: x.effectiveRank(), Version: version, Salt: salt, Cache: x.plan.parts,
+		FetchUntilMS: x.g.cache.serverClockMS(x.fetchTimeout())}
 }
 
 // logSaves writes a line on what the target shall keep in which store: a save that comes
 // late can then be traced to its request.
 func (x *exchange) logSaves(t *catalog.Target, salt string) {
-	if len(x.plan.saved) == 0 {
+	if len(x.plan.savedKeys) == 0 {
 		return
 	}
-	ok, leftOut := x.g.saves.allow(x.g.now())
+	ok, leftOut := x.g.saveSampler.allow(x.g.now())
 	if !ok {
 		return
 	}
@@ -173,32 +173,32 @@
 }
 
 const (
-	// hopelessShare of the time left for the first answer, if it is predicted to take
+	// lateShare of the time left for the first answer, if it is predicted to take
 	// longer, makes a request wait behind those that can be in time: read first, it
 	// would make them late too. The rest is for what predictions leave out where they
 	// know little of other instances' work: 340 ms of 500 for one answer in 20.
-	hopelessShare = 0.6
-	// hopelessRanks is by how much: more than the ranks that operators declare, 0 to 3.
-	hopelessRanks = 4
+	lateShare = 0.6
+	// lateRankPenalty is by how much: more than the ranks that operators declare, 0 to 3.
+	lateRankPenalty = 4
 )
 
-// urgency is the rank at the target, 0 being the most urgent. In a small fleet, where
+// effectiveRank is the rank at the target, 0 being the most urgent. In a small fleet, where
 // every instance knows what waits at the targets, requests are placed well enough, and
 // those put behind would only lose their memory to others (docs/ROUTING.md).
-func (x *exchange) urgency() int {
-	rank := x.priority()
-	if len(x.view.Alive) <= smallFleet || !x.g.settings().Policy.LateBehind {
+func (x *exchange) effectiveRank() int {
+	rank := x.baseRank()
+	if len(x.view.Alive) <= maxSmallFleet || !x.g.settings().Policy.LateBehind {
 		return min(rank, lowestPriority)
 	}
-	left := float64(x.route.Objective)/float64(time.Millisecond) - x.sinceMS()
-	if x.predictedMS > hopelessShare*left {
-		rank += hopelessRanks
+	left := float64(x.route.Objective)/float64(time.Millisecond) - x.elapsedMS()
+	if x.predictedMS > lateShare*left {
+		rank += lateRankPenalty
 	}
 	return min(rank, lowestPriority)
 }
 
-// priority is the customer's if it has one, else the route's.
-func (x *exchange) priority() int {
+// baseRank is the customer's if it has one, else the route's.
+func (x *exchange) baseRank() int {
 	if x.customer != nil && x.customer.HasPriority {
 		return max(x.customer.Priority, 0)
 	}
--- a/internal/gateway/prompt_test.go
+++ b/internal/gateway/prompt_test.go
@@ -41,10 +41,10 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := &Gateway{now: func() time.Time { return start.Add(c.waited) }}
-			g.set.Store((&Settings{}).WithDefaults())
+			g.currentSettings.Store((&Settings{}).WithDefaults())
 			x := &exchange{g: g, arrived: start, view: &View{Alive: make([]string, c.fleet)}, predictedMS: c.predicted, customer: c.customer,
 				route: &catalog.Route{Objective: 500 * time.Millisecond, Priority: c.rank}}
-			is.New(t).Equal(x.urgency(), c.want)
+			is.New(t).Equal(x.effectiveRank(), c.want)
 		})
 	}
 }
@@ -59,16 +59,16 @@
 	x := &exchange{g: g, arrived: start, route: &catalog.Route{Objective: 400 * time.Millisecond}}
 	is.True(x.worthFetching(200))
 	is.True(!x.worthFetching(201))
-	is.Equal(x.fetchUntil(), 1200*time.Millisecond)
+	is.Equal(x.fetchTimeout(), 1200*time.Millisecond)
 	waited = 150 * time.Millisecond // after an attempt elsewhere
 	is.True(x.worthFetching(50))
 	is.True(!x.worthFetching(51))
-	is.Equal(x.fetchUntil(), 1050*time.Millisecond)
+	is.Equal(x.fetchTimeout(), 1050*time.Millisecond)
 	waited = 0
 	x.route = &catalog.Route{Objective: 10 * time.Second}
-	is.Equal(x.fetchUntil(), longestFetch)
+	is.Equal(x.fetchTimeout(), maxFetchTime)
 	x.route = &catalog.Route{Objective: 400 * time.Millisecond}
 	waited = 2 * time.Second
 	is.True(!x.worthFetching(0))
-	is.Equal(x.fetchUntil(), time.Duration(0))
+	is.Equal(x.fetchTimeout(), time.Duration(0))
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -19,9 +19,9 @@
 // again. Each crash is told to all instances; what concerns more than one crash is written to
 // the object store too, for instances that start when no other is left (quarantine_store.go).
 
-// crashed takes what was under way at a target when it crashed. An end that was announced is
+// handleCrash takes what was under way at a target when it crashed. An end that was announced is
 // no request's doing.
-func (g *Gateway) crashed(t *catalog.Target, broken []brokenRequest) {
+func (g *Gateway) handleCrash(t *catalog.Target, broken []interruptedRequest) {
 	listed := g.view.Load().Targets[t.ID]
 	if listed == nil || listed.Leaves() {
 		g.log.WithField("target", t.ID).WithField("requests", len(broken)).Info("target ended as announced")
@@ -44,49 +44,49 @@
 	g.spreadSuspects(words, "")
 	g.suspectsDue.Raise()
 	if keep {
-		g.keepSuspects()
+		g.scheduleSuspectsWrite()
 	}
 }
 
-// answered takes that a request was answered whole, which speaks for all that are alike.
-func (g *Gateway) answered(x *exchange) {
-	w, suspected := g.quarantine.Answered(x.alike(), g.now())
+// recordSuccess takes that a request was answered whole, which speaks for all that are alike.
+func (g *Gateway) recordSuccess(x *exchange) {
+	w, suspected := g.quarantine.Answered(x.quarantineKey(), g.now())
 	if !suspected {
 		return
 	}
-	g.log.WithField("request", x.call.ID).WithField("key", x.alike().String()).WithField("targets", x.targets).WithField("crashes", len(w.Crashes)).
+	g.log.WithField("request", x.call.ID).WithField("key", x.quarantineKey().String()).WithField("targets", x.triedTargets).WithField("crashes", len(w.Crashes)).
 		Info("request answered whole, those like it are no longer suspected")
 	g.spreadSuspects([]quarantine.Word{w}, "")
 	if w.Tells() {
-		g.keepSuspects()
+		g.scheduleSuspectsWrite()
 	}
 }
 
-// Suspects is an instance's word on requests under which targets crashed.
-type Suspects struct {
-	From  string            `cbor:"1,keyasint"`
-	Words []quarantine.Word `cbor:"2,keyasint,omitempty"`
-	All   bool              `cbor:"3,keyasint,omitempty"` // answer with all words of the receiver
+// SuspectsRequest is an instance's word on requests under which targets crashed.
+type SuspectsRequest struct {
+	From    string            `cbor:"1,keyasint"`
+	Reports []quarantine.Word `cbor:"2,keyasint,omitempty"`
+	All     bool              `cbor:"3,keyasint,omitempty"` // answer with all words of the receiver
 }
 
-// SuspectsHeard is the answer to Suspects.
-type SuspectsHeard struct {
-	From  string            `cbor:"1,keyasint"`
-	Words []quarantine.Word `cbor:"2,keyasint,omitempty"`
+// SuspectsReply is the answer to Suspects.
+type SuspectsReply struct {
+	From    string            `cbor:"1,keyasint"`
+	Reports []quarantine.Word `cbor:"2,keyasint,omitempty"`
 }
 
 // Suspects takes a peer's word.
-func (h *peerHandler) Suspects(req *Suspects, out *SuspectsHeard) error {
-	h.g.takeSuspects(req.Words, req.From)
+func (h *peerHandler) Suspects(req *SuspectsRequest, out *SuspectsReply) error {
+	h.g.mergeSuspects(req.Reports, req.From)
 	out.From = h.g.settings().Name
 	if req.All {
-		out.Words = h.g.quarantine.Words(h.g.now())
+		out.Reports = h.g.quarantine.Words(h.g.now())
 	}
 	return nil
 }
 
-// takeSuspects merges the words of a peer, and passes on what is new.
-func (g *Gateway) takeSuspects(words []quarantine.Word, from string) {
+// mergeSuspects merges the words of a peer, and passes on what is new.
+func (g *Gateway) mergeSuspects(words []quarantine.Word, from string) {
 	if len(words) == 0 {
 		return
 	}
@@ -104,40 +104,40 @@
 	if len(words) == 0 {
 		return
 	}
-	g.suspectsOut.add(words, from)
-	g.tellDue.Raise()
+	g.suspectsOutbox.add(words, from)
+	g.outboxDue.Raise()
 }
 
-// tellCrashes empties the outbox, whenever there is something in it.
-func (g *Gateway) tellCrashes(ctx context.Context) {
+// reportSuspects empties the outbox, whenever there is something in it.
+func (g *Gateway) reportSuspects(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !g.tellDue.Within(ctx, quarantine.Retention) || !wait.For(ctx, outboxGap) {
+		if !g.outboxDue.Within(ctx, quarantine.Retention) || !wait.For(ctx, outboxDelay) {
 			continue
 		}
 		near := g.view.Load().Tree.neighbours()
-		told := g.suspectsOut.take(near)
+		told := g.suspectsOutbox.drain(near)
 		for _, n := range near {
 			if words := told[n.Name]; len(words) > 0 {
-				g.start(func() { g.tellSuspects(n.Member, &Suspects{From: g.settings().Name, Words: words}) })
+				g.spawn(func() { g.sendSuspects(n.Member, &SuspectsRequest{From: g.settings().Name, Reports: words}) })
 			}
 		}
 	}
 }
 
-// tellSuspects tells one peer. What does not arrive is made up for by compareSuspects.
-func (g *Gateway) tellSuspects(m member.Member, req *Suspects) {
+// sendSuspects tells one peer. What does not arrive is made up for by compareSuspects.
+func (g *Gateway) sendSuspects(m member.Member, req *SuspectsRequest) {
 	ctx, cancel := context.WithTimeout(g.ctx, peerTimeout)
 	defer cancel()
-	var out SuspectsHeard
+	var out SuspectsReply
 	if err := g.pool.Call(ctx, m.Address, peerService+".Suspects", req, &out); err != nil {
-		g.log.WithError(err).WithField("peer", m.Name).WithField("words", len(req.Words)).Info("suspected requests not told")
+		g.log.WithError(err).WithField("peer", m.Name).WithField("words", len(req.Reports)).Info("suspected requests not told")
 		return
 	}
-	g.takeSuspects(out.Words, out.From)
+	g.mergeSuspects(out.Reports, out.From)
 }
 
-// compareGap is the least time between two comparisons: a word takes no longer to spread.
-const compareGap = time.Second
+// compareInterval is the least time between two comparisons: a word takes no longer to spread.
+const compareInterval = time.Second
 
 // compareSuspects exchanges all words with a peer that believes otherwise: one of the two
 // has started, or was cut off. digest is the peer's.
@@ -145,33 +145,33 @@
 	if m.Address == "" || digest == g.quarantine.Digest(g.now()) {
 		return
 	}
-	last, now := g.compared.Load(), int64(g.now().Sub(g.began))
-	if last != 0 && now-last < int64(compareGap) || !g.compared.CompareAndSwap(last, max(now, 1)) {
+	last, now := g.lastCompared.Load(), int64(g.now().Sub(g.startedAt))
+	if last != 0 && now-last < int64(compareInterval) || !g.lastCompared.CompareAndSwap(last, max(now, 1)) {
 		return
 	}
-	req := &Suspects{From: g.settings().Name, Words: g.quarantine.Words(g.now()), All: true}
-	g.start(func() { g.tellSuspects(m, req) })
+	req := &SuspectsRequest{From: g.settings().Name, Reports: g.quarantine.Words(g.now()), All: true}
+	g.spawn(func() { g.sendSuspects(m, req) })
 }
 
-// rejected says whether the request is to be kept from targets now, and by what belief. One
+// checkQuarantine says whether the request is to be kept from targets now, and by what belief. One
 // request at a time is let through to try whether the belief is right.
-func (x *exchange) rejected() (quarantine.State, bool) {
-	if x.trial || x.g.quarantine.Empty() {
+func (x *exchange) checkQuarantine() (quarantine.State, bool) {
+	if x.isTrial || x.g.quarantine.Empty() {
 		return quarantine.State{}, false
 	}
-	s, known := x.g.quarantine.Check(x.alike(), x.g.now())
+	s, known := x.g.quarantine.Check(x.quarantineKey(), x.g.now())
 	if known && s.Pending > 0 {
 		// Sent on it may cost one more target, rejected it may be an innocent's.
 		wait.For(x.ctx, s.Pending)
-		s, known = x.g.quarantine.Check(x.alike(), x.g.now())
+		s, known = x.g.quarantine.Check(x.quarantineKey(), x.g.now())
 	}
 	if !known || !s.Rejects {
 		return s, false
 	}
-	if x.ran > 0 || s.TrialIn > 0 || !x.g.claimTrial(x.ctx, s.Key) {
+	if x.possibleRuns > 0 || s.TrialIn > 0 || !x.g.claimTrial(x.ctx, s.Key) {
 		return s, true
 	}
-	x.trial = true
+	x.isTrial = true
 	metric.QuarantineTrials.Inc()
 	x.g.log.WithField("request", x.call.ID).WithField("key", s.Key.String()).WithField("crashes", s.Crashes).WithField("trials", s.Trials+1).
 		WithField("quarantined_ms", s.Since.Milliseconds()).Info("quarantined request let through as a trial")
@@ -181,25 +181,25 @@
 // endTrial notes what a trial that ends without an answer showed, if the request is one: if
 // it reached no target, nothing.
 func (x *exchange) endTrial() {
-	if !x.trial {
+	if !x.isTrial {
 		return
 	}
-	x.trial = false
-	sent := x.ran+x.refusals > 0
-	x.g.log.WithField("request", x.call.ID).WithField("key", x.alike().String()).WithField("targets", x.targets).WithField("sent", sent).
+	x.isTrial = false
+	sent := x.possibleRuns+x.refusals > 0
+	x.g.log.WithField("request", x.call.ID).WithField("key", x.quarantineKey().String()).WithField("targets", x.triedTargets).WithField("sent", sent).
 		Info("trial of a quarantined request ended without an answer")
 	if sent {
 		return
 	}
-	if w, counted := x.g.quarantine.Void(x.alike(), x.g.now()); counted {
+	if w, counted := x.g.quarantine.Void(x.quarantineKey(), x.g.now()); counted {
 		x.g.spreadSuspects([]quarantine.Word{w}, "")
-		x.g.keepSuspects()
+		x.g.scheduleSuspectsWrite()
 	}
 }
 
-// reject ends a request that is kept from targets.
-func (x *exchange) reject(s quarantine.State) {
+// refuseQuarantined ends a request that is kept from targets.
+func (x *exchange) refuseQuarantined(s quarantine.State) {
 	metric.QuarantineRejects.Inc()
-	x.suspect = &s
-	x.failAfter(x.machine.Quarantined(), ending{event: attempt.NotSent, retryAfter: s.TrialIn})
+	x.quarantineState = &s
+	x.fail(x.machine.Quarantined(), attemptResult{event: attempt.NotSent, retryAfter: s.TrialIn})
 }
--- a/internal/gateway/quarantine_store.go
+++ b/internal/gateway/quarantine_store.go
@@ -72,7 +72,7 @@
 	}
 	age := func(at int64) int64 { return max(now.UnixMilli()-at, 0) }
 	for _, s := range v.Requests {
-		w, ok := s.word(age)
+		w, ok := s.report(age)
 		if !ok {
 			unreadable++
 			continue
@@ -82,8 +82,8 @@
 	return words, unreadable, nil
 }
 
-// word is the entry as instances tell it; false: it can't be read.
-func (s storedSuspect) word(age func(at int64) int64) (quarantine.Word, bool) {
+// report is the entry as instances tell it; false: it can't be read.
+func (s storedSuspect) report(age func(at int64) int64) (quarantine.Word, bool) {
 	w := quarantine.Word{Label: s.Label, Trials: s.Trials, Void: s.Void, Tried: age(s.LastTry), Answered: -1}
 	if len(s.Key) != hex.EncodedLen(len(w.Key)) {
 		return w, false
@@ -120,8 +120,8 @@
 		g.log.WithError(err).Error("suspected requests not readable")
 		return o.Version, nil
 	}
-	g.noteUnreadable(quarantineKind, unreadable)
-	g.takeSuspects(words, "")
+	g.countUnreadable(quarantineKind, unreadable)
+	g.mergeSuspects(words, "")
 	return o.Version, nil
 }
 
@@ -145,16 +145,16 @@
 	return err
 }
 
-// claimWait bounds the claim of a trial: the request that is to be the trial waits for it.
-const claimWait = 300 * time.Millisecond
+// claimTimeout bounds the claim of a trial: the request that is to be the trial waits for it.
+const claimTimeout = 300 * time.Millisecond
 
 // claimTrial claims the right to let one request through. The conditional write makes it one
 // in the whole fleet; without the object store there is none.
 func (g *Gateway) claimTrial(ctx context.Context, k quarantine.Key) bool {
-	if !g.storeOK.Load() {
+	if !g.storeReachable.Load() {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, claimWait)
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	version, err := g.readSuspects(ctx)
 	if err != nil {
@@ -173,53 +173,53 @@
 	return true
 }
 
-// keepSuspects has what is known here written to the object store.
-func (g *Gateway) keepSuspects() {
-	g.suspectsChanged.Store(true)
+// scheduleSuspectsWrite has what is known here written to the object store.
+func (g *Gateway) scheduleSuspectsWrite() {
+	g.suspectsUnsaved.Store(true)
 	g.suspectsDue.Raise()
 }
 
-// suspectsEvery is how often quarantines are looked after while there may be any.
-const suspectsEvery = time.Second
+// quarantineInterval is how often quarantines are looked after while there may be any.
+const quarantineInterval = time.Second
 
-// keepQuarantine reads the object once, keeps it up to date, and tells operators what begins
+// maintainQuarantine reads the object once, keeps it up to date, and tells operators what begins
 // and ends.
-func (g *Gateway) keepQuarantine(ctx context.Context) {
-	g.start(func() { g.firstSuspects(ctx) })
+func (g *Gateway) maintainQuarantine(ctx context.Context) {
+	g.spawn(func() { g.loadSuspects(ctx) })
 	shown := map[quarantine.Key]quarantine.State{}
 	failures := 0
 	for ctx.Err() == nil {
 		pace := quarantine.Retention
 		if !g.quarantine.Empty() {
-			pace = suspectsEvery
+			pace = quarantineInterval
 		}
 		g.suspectsDue.Within(ctx, pace)
 		g.quarantine.Expire(g.now())
-		g.showQuarantines(shown)
-		if !g.suspectsChanged.Load() || len(g.quarantine.Words(g.now())) == 0 {
+		g.logQuarantines(shown)
+		if !g.suspectsUnsaved.Load() || len(g.quarantine.Words(g.now())) == 0 {
 			continue
 		}
-		g.suspectsChanged.Store(false)
+		g.suspectsUnsaved.Store(false)
 		if err := g.writeSuspects(ctx); err != nil && ctx.Err() == nil {
-			g.suspectsChanged.Store(true)
+			g.suspectsUnsaved.Store(true)
 			failures++
 			g.log.WithError(err).WithField("failures", failures).Info("suspected requests not written")
-			wait.For(ctx, pause(failures))
+			wait.For(ctx, retryPause(failures))
 			continue
 		}
 		failures = 0
 	}
 }
 
-// firstSuspects reads the object at the start. In a large fleet the watchers do, and tell.
-func (g *Gateway) firstSuspects(ctx context.Context) {
-	for g.joins() {
-		if !wait.For(ctx, watchGap) {
+// loadSuspects reads the object at the start. In a large fleet the watchers do, and tell.
+func (g *Gateway) loadSuspects(ctx context.Context) {
+	for g.isJoining() {
+		if !wait.For(ctx, minWatchInterval) {
 			return
 		}
 	}
 	for failures := 0; ctx.Err() == nil; {
-		if v := g.view.Load(); len(v.Alive) > smallFleet && !v.Watcher {
+		if v := g.view.Load(); len(v.Alive) > maxSmallFleet && !v.IsWatcher {
 			return
 		}
 		_, err := g.readSuspects(ctx)
@@ -228,12 +228,12 @@
 		}
 		failures++
 		g.log.WithError(err).Info("suspected requests not read")
-		wait.For(ctx, pause(failures))
+		wait.For(ctx, retryPause(failures))
 	}
 }
 
-// showQuarantines writes a line on each quarantine that has begun or ended since shown.
-func (g *Gateway) showQuarantines(shown map[quarantine.Key]quarantine.State) {
+// logQuarantines writes a line on each quarantine that has begun or ended since shown.
+func (g *Gateway) logQuarantines(shown map[quarantine.Key]quarantine.State) {
 	now := g.now()
 	suspects, held := g.quarantine.Suspects(now), map[quarantine.Key]bool{}
 	for _, s := range suspects {
@@ -252,7 +252,7 @@
 			continue
 		}
 		why := "answered"
-		if s.Left <= 2*suspectsEvery {
+		if s.Left <= 2*quarantineInterval {
 			why = "over"
 		}
 		g.log.WithField("key", k.String()).WithField("customer", s.Label.Customer).WithField("route", s.Label.Route).WithField("why", why).Info("quarantine ended")
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -19,19 +19,19 @@
 // instances that could hear of the third crash.
 const (
 	contactTime = 3 * time.Second
-	mostCrashes = 3
-	mostTries   = 3
+	maxCrashes  = 3
+	maxTries    = 3
 )
 
-// crashCount counts the crashes under one request.
-type crashCount struct {
+// crashCounter counts the crashes under one request.
+type crashCounter struct {
 	mu   sync.Mutex
 	at   []time.Time
 	late int // those that came contactTime after the third
 }
 
 // deadly is a target's reaction to a body that crashes it.
-func (c *crashCount) deadly(body string) func(string) bool {
+func (c *crashCounter) deadly(body string) func(string) bool {
 	return func(got string) bool {
 		if got != body {
 			return false
@@ -39,28 +39,28 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.at = append(c.at, time.Now())
-		if len(c.at) > mostCrashes && time.Since(c.at[mostCrashes-1]) > contactTime {
+		if len(c.at) > maxCrashes && time.Since(c.at[maxCrashes-1]) > contactTime {
 			c.late++
 		}
 		return true
 	}
 }
 
-func (c *crashCount) total() int {
+func (c *crashCounter) total() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.at)
 }
 
-// innocents sends requests that harm nobody, each of its own, and counts answers.
-func (f *trafficFleet) innocents(n int, every time.Duration) (served int) {
+// sendInnocents sends requests that harm nobody, each of its own, and counts answers.
+func (f *trafficFleet) sendInnocents(n int, every time.Duration) (served int) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	for i := range n {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			if f.ask(i%len(f.gates), pathSafe, fmt.Sprintf("innocent %d of %v", i, time.Now().UnixNano())).status == 200 {
+			if f.request(i%len(f.gateways), pathSafe, fmt.Sprintf("innocent %d of %v", i, time.Now().UnixNano())).status == 200 {
 				mu.Lock()
 				served++
 				mu.Unlock()
@@ -88,15 +88,15 @@
 		{"a large fleet", pathOnce, 60, nil, nil},
 		{"all instances restart", pathOnce, 9, nil, (*trafficFleet).restartAll},
 		{"all instances of a large fleet restart", pathOnce, 60, nil, (*trafficFleet).restartAll},
-		{"the object store is silent", pathOnce, 9, func(f *trafficFleet) { f.silence(true) }, nil},
-		{"the object store is silent until all restart", pathOnce, 9, func(f *trafficFleet) { f.silence(true) }, func(f *trafficFleet) {
-			f.silence(false)
+		{"the object store is silent", pathOnce, 9, func(f *trafficFleet) { f.silenceStore(true) }, nil},
+		{"the object store is silent until all restart", pathOnce, 9, func(f *trafficFleet) { f.silenceStore(true) }, func(f *trafficFleet) {
+			f.silenceStore(false)
 			time.Sleep(contactTime)
 			f.restartAll()
 		}},
-		{"an instance starts later", pathOnce, 9, nil, func(f *trafficFleet) { f.join() }},
-		{"an instance starts later, and the object store is silent to it", pathOnce, 9, nil, func(f *trafficFleet) { f.doors[f.join()].shut(true) }},
-		{"instances come back that were cut off", pathOnce, 9, func(f *trafficFleet) { f.cutOff(away, true) }, func(f *trafficFleet) { f.cutOff(away, false) }},
+		{"an instance starts later", pathOnce, 9, nil, func(f *trafficFleet) { f.addInstance() }},
+		{"an instance starts later, and the object store is silent to it", pathOnce, 9, nil, func(f *trafficFleet) { f.storeClients[f.addInstance()].setSilent(true) }},
+		{"instances come back that were cut off", pathOnce, 9, func(f *trafficFleet) { f.isolate(away, true) }, func(f *trafficFleet) { f.isolate(away, false) }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -104,49 +104,49 @@
 				is := is.New(t)
 				f := newTrafficFleet(t, c.n, 3, 12)
 				defer f.stop()
-				var crashed crashCount
-				f.crashOn(crashed.deadly(body))
+				var crashed crashCounter
+				f.setCrashOn(crashed.deadly(body))
 				if c.before != nil {
 					c.before(f)
 				}
-				for i := 0; crashed.total() < mostCrashes; i++ {
-					f.ask(i%away[0], c.path, body)
+				for i := 0; crashed.total() < maxCrashes; i++ {
+					f.request(i%away[0], c.path, body)
 					time.Sleep(200 * time.Millisecond)
 				}
 				time.Sleep(contactTime)
 				if c.after != nil {
 					c.after(f)
-					f.settle(len(f.gates))
+					f.awaitReady(len(f.gateways))
 					time.Sleep(contactTime)
 				}
 				again := make(chan struct{})
 				go func() {
 					defer close(again)
 					for i := range 240 {
-						f.ask(i%len(f.gates), c.path, body)
+						f.request(i%len(f.gateways), c.path, body)
 						time.Sleep(50 * time.Millisecond)
 					}
 				}()
-				served := f.innocents(300, 50*time.Millisecond)
+				served := f.sendInnocents(300, 50*time.Millisecond)
 				<-again
 				t.Logf("%d crashes, %d of them late; %d others served", crashed.total(), crashed.late, served)
-				is.True(crashed.late <= mostTries)
+				is.True(crashed.late <= maxTries)
 				is.Equal(served, 300)
 			})
 		})
 	}
 }
 
-// alike sends requests that are all the same, and returns how the last ones ended, and how
+// sendAlike sends requests that are all the same, and returns how the last ones ended, and how
 // many of all were rejected as such that crash targets.
-func (f *trafficFleet) alike(path, body string, n, last int, every time.Duration) (served, rejected int) {
+func (f *trafficFleet) sendAlike(path, body string, n, last int, every time.Duration) (served, rejected int) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	for i := range n {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			a := f.ask(i%len(f.gates), path, body)
+			a := f.request(i%len(f.gateways), path, body)
 			mu.Lock()
 			defer mu.Unlock()
 			if a.status == 200 && i >= n-last {
@@ -194,7 +194,7 @@
 					})
 				}
 				const n, last = 2000, 200
-				served, rejected := f.alike(c.path, body, n, last, 10*time.Millisecond)
+				served, rejected := f.sendAlike(c.path, body, n, last, 10*time.Millisecond)
 				t.Logf("%d of the last %d served, %d rejected", served, last, rejected)
 				is.Equal(served, last)
 				is.True(!c.spared || rejected == 0)
@@ -211,8 +211,8 @@
 			f := newTrafficFleet(t, 9, 3, 6)
 			defer f.stop()
 			for i := range 2 {
-				ended := make(chan trafficAnswer, 1)
-				go func() { ended <- f.ask(i, pathOnce, slowBody) }()
+				ended := make(chan trafficResponse, 1)
+				go func() { ended <- f.request(i, pathOnce, slowBody) }()
 				time.Sleep(slowTime / 4)
 				for _, m := range f.targets {
 					if !m.busy() {
@@ -227,7 +227,7 @@
 				is.Equal((<-ended).status, http.StatusBadGateway)
 			}
 			time.Sleep(time.Second)
-			for _, g := range f.gates {
+			for _, g := range f.gateways {
 				is.Equal(len(g.quarantine.Suspects(time.Now())) == 0, announced)
 			}
 		})
@@ -242,14 +242,14 @@
 		defer f.stop()
 		for _, m := range f.targets {
 			m.mu.Lock()
-			m.resets = true
+			m.resetsConns = true
 			m.mu.Unlock()
 		}
 		for i := range 8 {
-			is.Equal(f.ask(i, pathOnce, "x").status, http.StatusBadGateway)
+			is.Equal(f.request(i, pathOnce, "x").status, http.StatusBadGateway)
 			time.Sleep(time.Second)
 		}
-		for _, g := range f.gates {
+		for _, g := range f.gateways {
 			is.True(g.quarantine.Empty())
 		}
 	})
--- a/internal/gateway/quarantine_trial_test.go
+++ b/internal/gateway/quarantine_trial_test.go
@@ -19,25 +19,25 @@
 		is := is.New(t)
 		f := newEvacuatedFleet(t, 3)
 		defer f.end()
-		var crashed crashCount
-		f.crashOn(crashed.deadly(body))
-		for i := 0; crashed.total() < mostCrashes; i++ {
-			f.ask(i%len(f.gates), pathOnce, body)
+		var crashed crashCounter
+		f.setCrashOn(crashed.deadly(body))
+		for i := 0; crashed.total() < maxCrashes; i++ {
+			f.request(i%len(f.gateways), pathOnce, body)
 			time.Sleep(200 * time.Millisecond)
 		}
-		f.crashOn(nil)
+		f.setCrashOn(nil)
 		zones := []string{"z0", "z1", "z2"}
 		for _, z := range zones {
 			f.evacuate(z)
 		}
 		time.Sleep(2 * time.Second)
-		a := f.ask(0, pathOnce, body)
+		a := f.request(0, pathOnce, body)
 		is.Equal(a.status, http.StatusServiceUnavailable)
 		is.True(!strings.Contains(a.body, string(problem.Quarantined))) // the trial
 		for _, z := range zones {
-			f.takeBack(z)
+			f.release(z)
 		}
 		time.Sleep(2 * time.Second)
-		is.Equal(f.ask(0, pathOnce, body).status, http.StatusOK)
+		is.Equal(f.request(0, pathOnce, body).status, http.StatusOK)
 	})
 }
--- a/internal/gateway/relay_tree_test.go
+++ b/internal/gateway/relay_tree_test.go
@@ -13,17 +13,17 @@
 	for _, c := range []struct{ n, zones int }{{17, 3}, {59, 3}, {91, 4}, {300, 3}, {330, 7}, {1000, 3}} {
 		t.Run(fmt.Sprintf("%d in %d", c.n, c.zones), func(t *testing.T) {
 			is := is.New(t)
-			all := fleetOf(c.n, c.zones)
+			all := membersOf(c.n, c.zones)
 			for _, first := range []int{0, c.n / 2, c.n - 1} {
 				told := map[string]int{}
-				tops := newTree(all, all[first]).topsElsewhere()
-				is.True(len(tops) <= storePolls)
+				tops := newRelayTree(all, all[first]).otherTops()
+				is.True(len(tops) <= maxStorePollers)
 				for _, m := range tops {
 					told[m.Name]++
 				}
 				for _, m := range all {
-					children := newTree(all, m).children()
-					is.True(len(children) <= treeFan)
+					children := newRelayTree(all, m).children()
+					is.True(len(children) <= treeFanout)
 					for _, child := range children {
 						is.Equal(child.Zone, m.Zone)
 						told[child.Name]++
@@ -41,8 +41,8 @@
 // TestSmallTree: in a small fleet nobody serves another.
 func TestSmallTree(t *testing.T) {
 	is := is.New(t)
-	all := fleetOf(smallFleet, 3)
+	all := membersOf(maxSmallFleet, 3)
 	for _, m := range all {
-		is.Equal(len(newTree(all, m).children()), 0)
+		is.Equal(len(newRelayTree(all, m).children()), 0)
 	}
 }
--- a/internal/gateway/retry_after_test.go
+++ b/internal/gateway/retry_after_test.go
@@ -14,13 +14,13 @@
 func TestComeBackIsSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		long := askingUntil(time.Hour, 20*time.Second)
-		f := newRestFleet(t, 1, long, long, long, long)
+		long := overloadedUntil(time.Hour, 20*time.Second)
+		f := newBackoffFleet(t, 1, long, long, long, long)
 		defer f.end()
 		a := f.send(0, pathOnce, "x") // it ends with a target's refusal
 		is.Equal(a.status, http.StatusServiceUnavailable)
-		is.True(!a.ours())
-		is.True(a.retry >= comeBackSoon)
-		is.True(a.retry <= longestComeBack)
+		is.True(!a.isLocal())
+		is.True(a.retry >= retryAfterShort)
+		is.True(a.retry <= maxRetryAfter)
 	})
 }
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -30,132 +30,132 @@
 // Times of a rollout.
 const (
 	rolloutTick = 100 * time.Millisecond
-	// contenders is how many instances stand by for the lease; the others cost the
+	// maxContenders is how many instances stand by for the lease; the others cost the
 	// store nothing.
-	contenders = 4
-	// contenderStep is how much later each next contender tries for a free lease.
-	contenderStep = 700 * time.Millisecond
-	// leasePulse is how often a holder that waits for loads renews, so that the
+	maxContenders = 4
+	// contenderDelay is how much later each next contender tries for a free lease.
+	contenderDelay = 700 * time.Millisecond
+	// leaseRenewInterval is how often a holder that waits for loads renews, so that the
 	// contenders see it alive.
-	leasePulse = 400 * time.Millisecond
-	// leaseWatch is how long a contender's watch of the lease waits: it changes
+	leaseRenewInterval = 400 * time.Millisecond
+	// leaseWatchTimeout is how long a contender's watch of the lease waits: it changes
 	// only during rollouts.
-	leaseWatch = 20 * time.Second
-	// loadTime is the longest time that one load may take: runs finish first.
-	loadTime = 15 * time.Second
-	// loadPoll is how often a load's progress is asked for.
-	loadPoll = 100 * time.Millisecond
-	// loadTaken is how long after an order without effect it is given again: a
+	leaseWatchTimeout = 20 * time.Second
+	// loadTimeout is the longest time that one load may take: runs finish first.
+	loadTimeout = 15 * time.Second
+	// loadPollInterval is how often a load's progress is asked for.
+	loadPollInterval = 100 * time.Millisecond
+	// loadAcceptTime is how long after an order without effect it is given again: a
 	// report lags some hundred ms.
-	loadTaken = 900 * time.Millisecond
-	// leastServing is the share of a model's targets that keep serving.
-	leastServing = 0.5
+	loadAcceptTime = 900 * time.Millisecond
+	// minServingShare is the share of a model's targets that keep serving.
+	minServingShare = 0.5
 	// planAhead is one target closed to new requests for so many that may load: a
 	// load takes about twice as long as a target is closed before it.
 	planAhead = 3
-	// closeTime is how long a target is closed before its order: instances hear of
+	// cordonTime is how long a target is closed before its order: instances hear of
 	// it in milliseconds, and most short answers end meanwhile.
-	closeTime = 500 * time.Millisecond
-	// loadLeast is the time before the first look at a load: none was seen faster.
-	loadLeast = 600 * time.Millisecond
+	cordonTime = 500 * time.Millisecond
+	// minLoadTime is the time before the first look at a load: none was seen faster.
+	minLoadTime = 600 * time.Millisecond
 	// renewTries is how often an order that is due looks for the lease's renewal.
 	renewTries = 20
-	// newsEvery is how often the holder repeats what it does.
-	newsEvery = time.Second
+	// rolloutUpdateInterval is how often the holder repeats what it does.
+	rolloutUpdateInterval = time.Second
 )
 
-// rollout gives orders while this instance holds the lease.
-type rollout struct {
-	g       *Gateway
-	due     time.Time // since when there is work; zero: none
-	renewed time.Time // last try to take or renew the lease
+// rolloutManager gives orders while this instance holds the lease.
+type rolloutManager struct {
+	g            *Gateway
+	workSince    time.Time // since when there is work; zero: none
+	lastLeaseTry time.Time // last try to take or renew the lease
 
-	renewals uint64
-	wanted   atomic.Bool // an order waits for the lease to be renewed
-	watched  atomic.Bool // the watch tells of changes of the lease
+	renewals     uint64
+	renewWanted  atomic.Bool // an order waits for the lease to be renewed
+	leaseWatched atomic.Bool // the watch tells of changes of the lease
 
-	mu      sync.Mutex // guards the rest
-	lease   *order.Lease
-	planner *order.Planner
-	loading map[string]bool // ids of targets with a load planned or under way
-	running int             // loads under way
-	most    int             // that may be
-	arrived []Arrival       // in this hold of the lease
-	token   uint64          // of this hold
-	seq     uint64          // of the news told
-	told    time.Time       // when
-	fenced  fence           // after another's hold
+	mu           sync.Mutex // guards the rest
+	lease        *order.Lease
+	planner      *order.Planner
+	loading      map[string]bool // ids of targets with a load planned or under way
+	runningLoads int             // loads under way
+	maxLoads     int             // that may be
+	loaded       []LoadedTarget  // in this hold of the lease
+	fencingToken uint64          // of this hold
+	updateSeq    uint64          // of the news told
+	lastUpdate   time.Time       // when
+	guard        handoverGuard   // after another's hold
 
-	heldOff map[string]time.Time // ids of targets, see holdOff
+	deferredUntil map[string]time.Time // ids of targets, see deferLoads
 }
 
-// rollOut brings targets to the weight versions named, while the lease is here.
+// runRollouts brings targets to the weight versions named, while the lease is here.
 // The lease lapses when there is nothing to do; whoever ranks first takes it.
-func (g *Gateway) rollOut(ctx context.Context) {
+func (g *Gateway) runRollouts(ctx context.Context) {
 	o := g.rollout
-	g.start(func() { o.watchLease(ctx) })
+	g.spawn(func() { o.watchLease(ctx) })
 	for wait.For(ctx, rolloutTick) {
-		o.round(ctx)
+		o.runRound(ctx)
 	}
 }
 
-func newRollout(g *Gateway) *rollout {
+func newRolloutManager(g *Gateway) *rolloutManager {
 	set := g.settings()
-	return &rollout{g: g, lease: order.NewLease(leaseParams, set.Name), planner: order.NewPlanner(loadTime), loading: map[string]bool{}, most: order.MaxLoads, heldOff: map[string]time.Time{}}
+	return &rolloutManager{g: g, lease: order.NewLease(leaseParams, set.Name), planner: order.NewPlanner(loadTimeout), loading: map[string]bool{}, maxLoads: order.MaxLoads, deferredUntil: map[string]time.Time{}}
 }
 
-// round does what is due now.
-func (o *rollout) round(ctx context.Context) {
+// runRound does what is due now.
+func (o *rolloutManager) runRound(ctx context.Context) {
 	v := o.g.view.Load()
-	behind := v.Behind
+	behind := v.Outdated
 	if len(behind) == 0 || v.Draining {
-		o.due = time.Time{}
+		o.workSince = time.Time{}
 		return
 	}
 	now := o.g.now()
-	if o.due.IsZero() {
-		o.due = now
+	if o.workSince.IsZero() {
+		o.workSince = now
 	}
 	rank := rankOf(v.Attached, o.g.settings().Name, leaseName)
-	if rank >= contenders || now.Sub(o.due) < time.Duration(rank)*contenderStep {
+	if rank >= maxContenders || now.Sub(o.workSince) < time.Duration(rank)*contenderDelay {
 		return
 	}
-	if now.Sub(o.renewed) >= leasePulse || o.wanted.Swap(false) || !o.idle(len(behind)) {
-		o.keepLease(ctx)
+	if now.Sub(o.lastLeaseTry) >= leaseRenewInterval || o.renewWanted.Swap(false) || !o.allStarted(len(behind)) {
+		o.maintainLease(ctx)
 	}
 	for _, l := range o.planLoads(v) {
-		o.g.start(func() { o.load(ctx, l, v.Targets[l.Target]) })
+		o.g.spawn(func() { o.runLoad(ctx, l, v.Targets[l.Target]) })
 	}
-	o.tellNews()
+	o.repeatUpdate()
 }
 
-// idle says that all loads that may be under way are.
-func (o *rollout) idle(behind int) bool {
+// allStarted says that all loads that may be under way are.
+func (o *rolloutManager) allStarted(behind int) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return len(o.loading) >= min(o.most+o.most/planAhead, behind)
+	return len(o.loading) >= min(o.maxLoads+o.maxLoads/planAhead, behind)
 }
 
-// tellNews tells the other instances what this one does, again and again as long
+// repeatUpdate tells the other instances what this one does, again and again as long
 // as it does anything.
-func (o *rollout) tellNews() {
+func (o *rolloutManager) repeatUpdate() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if len(o.loading) > 0 && o.g.now().Sub(o.told) >= newsEvery {
+	if len(o.loading) > 0 && o.g.now().Sub(o.lastUpdate) >= rolloutUpdateInterval {
 		o.announce()
 	}
 }
 
 // announce makes news of what is closed and what has arrived; o.mu is held.
-func (o *rollout) announce() {
-	o.seq++
-	o.told = o.g.now()
-	news := RolloutNews{Holder: o.g.settings().Name, Stamp: RolloutStamp{Token: o.token, Seq: o.seq}, Arrived: slices.Clone(o.arrived)}
+func (o *rolloutManager) announce() {
+	o.updateSeq++
+	o.lastUpdate = o.g.now()
+	news := RolloutUpdate{Holder: o.g.settings().Name, Stamp: RolloutStamp{Token: o.fencingToken, Seq: o.updateSeq}, Loaded: slices.Clone(o.loaded)}
 	for id := range o.loading {
-		news.Closing = append(news.Closing, id)
+		news.Cordoned = append(news.Cordoned, id)
 	}
-	slices.Sort(news.Closing)
-	o.g.send(rolloutHeard{news: news, own: true})
+	slices.Sort(news.Cordoned)
+	o.g.sendEvent(rolloutReceived{update: news, own: true})
 }
 
 // rankOf is an instance's place among the live ones for a role, the same at all
@@ -165,24 +165,24 @@
 }
 
 // planLoads chooses the loads to order now; none without the lease.
-func (o *rollout) planLoads(v *View) []order.Load {
+func (o *rolloutManager) planLoads(v *View) []order.Load {
 	var targets []order.Target
 	now, age := o.g.now(), map[string]time.Duration{}
 	wishes := map[string]order.Wish{}
-	for model, n := range v.Named {
-		wishes[model] = order.Wish{Version: versionText(n.Version), MinReady: leastServing}
+	for model, n := range v.NamedVersions {
+		wishes[model] = order.Wish{Version: versionText(n.Newest), MinReady: minServingShare}
 	}
 	o.mu.Lock()
-	fenced := o.fenced
+	fenced := o.guard
 	o.mu.Unlock()
 	for _, t := range v.Targets {
 		if t.Leaves() || !v.Config.Declares(t.Service) || fenced.blocks(t.ID, now) {
 			continue
 		}
 		for _, m := range t.Models {
-			at := min(m.Version, v.Named[m.Model].Version) // newer than we know of is as good
+			at := min(m.Version, v.NamedVersions[m.Model].Newest) // newer than we know of is as good
 			targets = append(targets, order.Target{Name: t.ID, Model: m.Model, Version: versionText(at), Ready: true})
-			age[t.ID] = v.Named[m.Model].behindFor(m.Version, now)
+			age[t.ID] = v.NamedVersions[m.Model].outdatedFor(m.Version, now)
 		}
 	}
 	// Those that have been behind for longest go first; else in an order that
@@ -198,10 +198,10 @@
 	for i := range targets {
 		targets[i].Loading = o.loading[targets[i].Name]
 	}
-	o.most = order.LoadsAtOnce(len(targets))
-	o.planner.Limit(o.most, o.most/planAhead)
+	o.maxLoads = order.LoadsAtOnce(len(targets))
+	o.planner.Limit(o.maxLoads, o.maxLoads/planAhead)
 	targets = slices.DeleteFunc(targets, func(t order.Target) bool {
-		return !t.Loading && now.Before(o.heldOff[t.Name])
+		return !t.Loading && now.Before(o.deferredUntil[t.Name])
 	})
 	loads := o.planner.Plan(targets, wishes, o.g.now())
 	for _, l := range loads {
@@ -215,14 +215,14 @@
 
 func versionText(v uint64) string { return strconv.FormatUint(v, 10) }
 
-// load orders one load and follows it to its end.
-func (o *rollout) load(ctx context.Context, l order.Load, t *catalog.Target) {
+// runLoad orders one load and follows it to its end.
+func (o *rolloutManager) runLoad(ctx context.Context, l order.Load, t *catalog.Target) {
 	version, err := strconv.ParseUint(l.Version, 10, 64)
 	if err != nil {
 		panic(err) // versionText made it
 	}
 	began := o.g.now()
-	outcome := o.follow(ctx, l.Model, version, t)
+	outcome := o.performLoad(ctx, l.Model, version, t)
 	o.mu.Lock()
 	delete(o.loading, l.Target)
 	o.planner.Ended(l, false)
@@ -232,74 +232,74 @@
 		WithField("ms", o.g.now().Sub(began).Milliseconds()).Info("load ended")
 }
 
-// follow closes a target, gives the order and waits for its effect. It returns
+// performLoad closes a target, gives the order and waits for its effect. It returns
 // how it ended.
-func (o *rollout) follow(ctx context.Context, model string, version uint64, t *catalog.Target) string {
-	ctx, cancel := context.WithTimeout(ctx, loadTime)
+func (o *rolloutManager) performLoad(ctx context.Context, model string, version uint64, t *catalog.Target) string {
+	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
-	wait.For(ctx, closeTime)
-	for !o.begin() {
+	wait.For(ctx, cordonTime)
+	for !o.acquireSlot() {
 		if !wait.For(ctx, rolloutTick/2) {
 			return "no turn in time"
 		}
 	}
-	defer o.end()
-	if err := o.mayBegin(t); err != nil {
+	defer o.releaseSlot()
+	if err := o.checkDeferred(t); err != nil {
 		return err.Error()
 	}
-	before, err := o.report(ctx, t)
+	before, err := o.fetchReport(ctx, t)
 	if err != nil {
 		return "no report: " + err.Error()
 	}
-	if o.hasArrived(before, model, version, t) {
+	if o.recordIfLoaded(before, model, version, t) {
 		return "already there"
 	}
-	if before.Word.Leaving {
-		return (&LeavesError{Target: t.ID}).Error()
+	if before.Notice.Leaving {
+		return (&TargetLeavingError{Target: t.ID}).Error()
 	}
-	if refusal := o.order(ctx, model, version, t, before.OrderSeq); refusal != "" {
+	if refusal := o.sendOrder(ctx, model, version, t, before.OrderSeq); refusal != "" {
 		return refusal
 	}
-	return o.await(ctx, model, version, t, before.OrderSeq)
+	return o.awaitLoad(ctx, model, version, t, before.OrderSeq)
 }
 
-// begin takes a turn to load, if one is free.
-func (o *rollout) begin() bool {
+// acquireSlot takes a turn to load, if one is free.
+func (o *rolloutManager) acquireSlot() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.running >= o.most {
+	if o.runningLoads >= o.maxLoads {
 		return false
 	}
-	o.running++
+	o.runningLoads++
 	return true
 }
 
-// end gives the turn back.
-func (o *rollout) end() {
+// releaseSlot gives the turn back.
+func (o *rolloutManager) releaseSlot() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.running--
+	o.runningLoads--
 }
 
-// order gives one order, if the lease is held right before. It returns "" unless
+// sendOrder gives one order, if the lease is held right before. It returns "" unless
 // the target surely did not take it.
-func (o *rollout) order(ctx context.Context, model string, version uint64, t *catalog.Target, seq uint64) string {
-	token, held := o.holdFor(ctx)
+func (o *rolloutManager) sendOrder(ctx context.Context, model string, version uint64, t *catalog.Target, seq uint64) string {
+	token, held := o.awaitLease(ctx)
 	if !held {
 		return "lease lapsed before the order"
 	}
-	if err := o.stays(t); err != nil {
+	if err := o.checkServing(t); err != nil {
 		return err.Error()
 	}
 	metric.Orders.Inc()
 	by := registry.Teller{From: string(fromOrder), Sent: o.g.now()}
 	word, err := o.g.engines.Load(ctx, LoadOrder{Target: t.Name, Address: t.Address, Model: model, Version: version, Holder: o.g.settings().Name,
-		Token: token, ExpectedSeq: seq, Cut: true})
-	word = wordOf(word, err)
-	o.g.hearWord(t, word, by)
+		Token: token, ExpectedSeq: seq, InterruptRuns: true})
+	word = noticeOf(word, err)
+	o.g.applyNotice(t, word, by)
 	o.g.log.WithField("target", t.ID).WithField("model", model).WithField("version", version).WithField("token", token).
 		WithField("expected", seq).WithField("error", errText(err)).Info("load ordered")
-	o.holdOff(t, word.Rest)
+	o.deferLoads(t, word.Backoff)
 	var call *CallError
 	if errors.As(err, &call) && call.Status != 0 && call.Status != http.StatusConflict {
 		return "refused with status " + strconv.Itoa(call.Status)
@@ -307,24 +307,24 @@
 	return ""
 }
 
-// await asks for reports until the version is there.
-func (o *rollout) await(ctx context.Context, model string, version uint64, t *catalog.Target, seq uint64) string {
+// awaitLoad asks for reports until the version is there.
+func (o *rolloutManager) awaitLoad(ctx context.Context, model string, version uint64, t *catalog.Target, seq uint64) string {
 	sent := o.g.now()
-	wait.For(ctx, loadLeast)
+	wait.For(ctx, minLoadTime)
 	for wait.For(ctx, o.pollPause(t)) {
-		r, err := o.report(ctx, t)
-		var again *StartedAgainError
-		var leaves *LeavesError
+		r, err := o.fetchReport(ctx, t)
+		var again *TargetRestartedError
+		var leaves *TargetLeavingError
 		if errors.As(err, &again) || errors.As(err, &leaves) {
 			return err.Error()
 		}
 		if err != nil {
 			continue // a report that is lost is asked for again, until the load's time is over
 		}
-		if o.hasArrived(r, model, version, t) {
+		if o.recordIfLoaded(r, model, version, t) {
 			return "done"
 		}
-		if !r.Ordered && r.OrderSeq == seq && o.g.now().Sub(sent) > loadTaken {
+		if !r.OrderInProgress && r.OrderSeq == seq && o.g.now().Sub(sent) > loadAcceptTime {
 			return "not taken"
 		}
 	}
@@ -338,10 +338,10 @@
 	return err.Error()
 }
 
-// report asks a target for its report. That of another life than meant is a failure:
+// fetchReport asks a target for its report. That of another life than meant is a failure:
 // its orders and weights are not those of the one that is asked.
-func (o *rollout) report(ctx context.Context, t *catalog.Target) (Report, error) {
-	if err := o.stays(t); err != nil {
+func (o *rolloutManager) fetchReport(ctx context.Context, t *catalog.Target) (Report, error) {
+	if err := o.checkServing(t); err != nil {
 		return Report{}, err
 	}
 	by := registry.Teller{From: string(fromReport), Sent: o.g.now()}
@@ -349,34 +349,34 @@
 	if r.Start != 0 {
 		by.Sent = time.Time{} // it tells its life
 	}
-	word := wordOf(r.Word, err)
-	o.holdOff(t, word.Rest)
-	o.g.hearWord(reporter(t, r), word, by)
+	word := noticeOf(r.Notice, err)
+	o.deferLoads(t, word.Backoff)
+	o.g.applyNotice(reportingIncarnation(t, r), word, by)
 	if err == nil && r.Start != 0 && t.Start != 0 && r.Start != t.Start {
-		return Report{}, &StartedAgainError{Target: t.ID, Start: r.Start}
+		return Report{}, &TargetRestartedError{Target: t.ID, Start: r.Start}
 	}
 	return r, err
 }
 
-// StartedAgainError says that a target has started again since its entry was read.
-type StartedAgainError struct {
+// TargetRestartedError says that a target has started again since its entry was read.
+type TargetRestartedError struct {
 	Target string // the life that was meant
 	Start  int64  // of the one that answered, Unix ms
 }
 
 // Error implements error.
-func (e *StartedAgainError) Error() string {
+func (e *TargetRestartedError) Error() string {
 	return e.Target + " has started again at " + strconv.FormatInt(e.Start, 10)
 }
 
-// hasArrived says whether a report shows the version, and takes note of it.
-func (o *rollout) hasArrived(r Report, model string, version uint64, t *catalog.Target) bool {
+// recordIfLoaded says whether a report shows the version, and takes note of it.
+func (o *rolloutManager) recordIfLoaded(r Report, model string, version uint64, t *catalog.Target) bool {
 	for _, m := range r.Models {
 		if m.Model == model && m.Version >= version {
 			o.mu.Lock()
-			o.arrived = append(o.arrived, Arrival{Target: t.ID, Serves: m})
+			o.loaded = append(o.loaded, LoadedTarget{Target: t.ID, Serves: m})
 			o.mu.Unlock()
-			o.g.send(targetServes{id: t.ID, at: m})
+			o.g.sendEvent(targetWeightsObserved{id: t.ID, serves: m})
 			return true
 		}
 	}
--- a/internal/gateway/rollout_backoff.go
+++ b/internal/gateway/rollout_backoff.go
@@ -11,66 +11,66 @@
 // they are few, but a load is neither kept back nor lost for it: while it lasts the target is
 // closed to callers at all instances, and weights have to be there in time.
 
-// LeavesError says that a target is asked nothing since it leaves.
-type LeavesError struct{ Target string }
+// TargetLeavingError says that a target is asked nothing since it leaves.
+type TargetLeavingError struct{ Target string }
 
 // Error implements error.
-func (e *LeavesError) Error() string { return e.Target + " leaves or is gone" }
+func (e *TargetLeavingError) Error() string { return e.Target + " leaves or is gone" }
 
-// RestsError says that no load is begun at a target since it refused the last one and asked for
+// BackoffError says that no load is begun at a target since it refused the last one and asked for
 // rest.
-type RestsError struct {
+type BackoffError struct {
 	Target string
 	Until  time.Time // when a load may begin
 }
 
 // Error implements error.
-func (e *RestsError) Error() string {
+func (e *BackoffError) Error() string {
 	return e.Target + " asks for rest, nothing is sent until " + e.Until.UTC().Format(time.RFC3339Nano)
 }
 
-// stays fails if a target leaves or is gone.
-func (o *rollout) stays(t *catalog.Target) error {
+// checkServing fails if a target leaves or is gone.
+func (o *rolloutManager) checkServing(t *catalog.Target) error {
 	if latest := o.g.view.Load().Targets[t.ID]; latest == nil || latest.Leaves() {
-		return &LeavesError{Target: t.ID}
+		return &TargetLeavingError{Target: t.ID}
 	}
 	return nil
 }
 
 const (
-	// restPoll is the longest pause between two reports of a load under way in a rest.
-	restPoll = 3 * time.Second
-	// holdOffFactor times the rest that a refused report or order brought is how long no other
+	// maxBackoffPoll is the longest pause between two reports of a load under way in a rest.
+	maxBackoffPoll = 3 * time.Second
+	// deferFactor times the rest that a refused report or order brought is how long no other
 	// load begins: callers, which that rest binds too, have the target for the greater part of it.
-	holdOffFactor = 3
-	// holdOffMost bounds this: weights have to be there in time.
-	holdOffMost = 3 * time.Second
+	deferFactor = 3
+	// maxDeferTime bounds this: weights have to be there in time.
+	maxDeferTime = 3 * time.Second
 )
 
 // pollPause is how long to wait before the next report of a load under way.
-func (o *rollout) pollPause(t *catalog.Target) time.Duration {
-	rest := o.g.ejected.Asked()[t.ID].Sub(o.g.now())
-	return min(max(rest, loadPoll), restPoll)
+func (o *rolloutManager) pollPause(t *catalog.Target) time.Duration {
+	rest := o.g.breaker.Asked()[t.ID].Sub(o.g.now())
+	return min(max(rest, loadPollInterval), maxBackoffPoll)
 }
 
-// holdOff takes the rest that a target asked for as it refused a report or an order; 0: none.
-func (o *rollout) holdOff(t *catalog.Target, rest time.Duration) {
+// deferLoads takes the rest that a target asked for as it refused a report or an order; 0: none.
+func (o *rolloutManager) deferLoads(t *catalog.Target, rest time.Duration) {
 	if rest <= 0 {
 		return
 	}
 	now := o.g.now()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	maps.DeleteFunc(o.heldOff, func(_ string, until time.Time) bool { return !now.Before(until) })
-	o.heldOff[t.ID] = now.Add(min(holdOffFactor*rest, holdOffMost))
+	maps.DeleteFunc(o.deferredUntil, func(_ string, until time.Time) bool { return !now.Before(until) })
+	o.deferredUntil[t.ID] = now.Add(min(deferFactor*rest, maxDeferTime))
 }
 
-// mayBegin fails if a load at a target is held off.
-func (o *rollout) mayBegin(t *catalog.Target) error {
+// checkDeferred fails if a load at a target is held off.
+func (o *rolloutManager) checkDeferred(t *catalog.Target) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if until := o.heldOff[t.ID]; o.g.now().Before(until) {
-		return &RestsError{Target: t.ID, Until: until}
+	if until := o.deferredUntil[t.ID]; o.g.now().Before(until) {
+		return &BackoffError{Target: t.ID, Until: until}
 	}
 	return nil
 }
--- a/internal/gateway/rollout_backoff_test.go
+++ b/internal/gateway/rollout_backoff_test.go
@@ -19,10 +19,10 @@
 // countingEngines are targets that count the reports and orders that reach them.
 type countingEngines struct {
 	Engines
-	rest            time.Duration // asked for as a report is refused; 0: reports are given
+	backoff         time.Duration // asked for as a report is refused; 0: reports are given
 	asked           func()        // called with each report; nil: nothing
-	orderRest       time.Duration // asked for as an order is refused; 0: orders are taken
-	word            Word          // of the reports that are given
+	orderBackoff    time.Duration // asked for as an order is refused; 0: orders are taken
+	notice          Notice        // of the reports that are given
 	loads           bool          // an order brings the weights at once
 	ordered         func()        // called with each order; nil: nothing
 	reports, orders int
@@ -34,48 +34,48 @@
 	if e.asked != nil {
 		e.asked()
 	}
-	if e.rest > 0 {
-		return Report{}, &CallError{Call: "report", Status: http.StatusServiceUnavailable, Word: Word{Rest: e.rest}}
+	if e.backoff > 0 {
+		return Report{}, &CallError{Call: "report", Status: http.StatusServiceUnavailable, Notice: Notice{Backoff: e.backoff}}
 	}
 	version := uint64(1)
 	if e.loads && e.orders > 0 {
 		version = 2
 	}
-	return Report{Models: []catalog.ModelVersion{{Model: "m", Version: version}}, Word: e.word}, nil
+	return Report{Models: []catalog.ModelVersion{{Model: "m", Version: version}}, Notice: e.notice}, nil
 }
 
 // Load implements Engines.
-func (e *countingEngines) Load(context.Context, LoadOrder) (Word, error) {
+func (e *countingEngines) Load(context.Context, LoadOrder) (Notice, error) {
 	e.orders++
 	if e.ordered != nil {
 		e.ordered()
 	}
-	if e.orderRest > 0 {
-		return Word{}, &CallError{Call: "order", Status: http.StatusServiceUnavailable, Word: Word{Rest: e.orderRest}}
+	if e.orderBackoff > 0 {
+		return Notice{}, &CallError{Call: "order", Status: http.StatusServiceUnavailable, Notice: Notice{Backoff: e.orderBackoff}}
 	}
-	return Word{}, nil
+	return Notice{}, nil
 }
 
 // loadFleet is an instance that holds the lease and may load at one target.
 type loadFleet struct {
-	*restFleet
-	o      *rollout
+	*backoffFleet
+	o      *rolloutManager
 	target *catalog.Target
 }
 
-// playLoad plays such an instance.
-func playLoad(t *testing.T, e *countingEngines, play func(is *is.I, f *loadFleet)) {
+// newLoadFleet plays such an instance.
+func newLoadFleet(t *testing.T, e *countingEngines, play func(is *is.I, f *loadFleet)) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newRestFleet(t, 1, served)
+		f := newBackoffFleet(t, 1, served)
 		defer f.end()
-		g := f.gates[0]
+		g := f.gateways[0]
 		g.engines = e
-		l := &loadFleet{restFleet: f, o: g.rollout}
+		l := &loadFleet{backoffFleet: f, o: g.rollout}
 		for _, x := range g.view.Load().Targets {
 			l.target = x
 		}
 		l.o.mu.Lock()
-		l.o.most = 1
+		l.o.maxLoads = 1
 		l.o.lease = order.NewLease(order.Params{Term: time.Hour, Margin: time.Minute, Renew: time.Hour}, "e-0")
 		l.o.lease.Wrote(1, time.Now())
 		l.o.mu.Unlock()
@@ -89,25 +89,25 @@
 	behind.Models = []catalog.ModelVersion{{Model: "m", Version: 1}}
 	v := *f.o.g.view.Load()
 	v.Targets = map[string]*catalog.Target{behind.ID: &behind}
-	v.Named = map[string]Named{"m": {Version: 2}}
+	v.NamedVersions = map[string]NamedVersions{"m": {Newest: 2}}
 	return f.o.planLoads(&v)
 }
 
-// hear brings a word of the target that came with an answer to a caller.
-func (f *loadFleet) hear(w Word) {
-	f.o.g.hearWord(f.target, w, registry.Teller{From: string(fromAnswer)})
+// applyEvents brings a word of the target that came with an answer to a caller.
+func (f *loadFleet) applyEvents(w Notice) {
+	f.o.g.applyNotice(f.target, w, registry.Teller{From: string(fromAnswer)})
 }
 
 // TestReportsWaitForRest guards against reports asked for in a rest that the target has asked for.
 func TestReportsWaitForRest(t *testing.T) {
 	const rest = 3 * time.Second
-	e := &countingEngines{rest: rest}
-	playLoad(t, e, func(is *is.I, f *loadFleet) {
+	e := &countingEngines{backoff: rest}
+	newLoadFleet(t, e, func(is *is.I, f *loadFleet) {
 		ctx, cancel := context.WithTimeout(f.t.Context(), rest-time.Millisecond)
 		defer cancel()
-		_, err := f.o.report(ctx, f.target)
+		_, err := f.o.fetchReport(ctx, f.target)
 		is.True(err != nil)
-		f.o.await(ctx, "m", 2, f.target, 0)
+		f.o.awaitLoad(ctx, "m", 2, f.target, 0)
 		is.Equal(e.reports, 1) // none in the rest
 	})
 }
@@ -117,17 +117,19 @@
 func TestLoadGoesOnInRest(t *testing.T) {
 	const rest = 10 * time.Second
 	for name, asks := range map[string]func(e *countingEngines, f *loadFleet){
-		"before the report": func(_ *countingEngines, f *loadFleet) { f.hear(Word{Rest: rest}) },
-		"before the order":  func(e *countingEngines, f *loadFleet) { e.asked = sync.OnceFunc(func() { f.hear(Word{Rest: rest}) }) },
-		"after the order":   func(e *countingEngines, f *loadFleet) { e.ordered = func() { f.hear(Word{Rest: rest}) } },
+		"before the report": func(_ *countingEngines, f *loadFleet) { f.applyEvents(Notice{Backoff: rest}) },
+		"before the order": func(e *countingEngines, f *loadFleet) {
+			e.asked = sync.OnceFunc(func() { f.applyEvents(Notice{Backoff: rest}) })
+		},
+		"after the order": func(e *countingEngines, f *loadFleet) { e.ordered = func() { f.applyEvents(Notice{Backoff: rest}) } },
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := &countingEngines{loads: true}
-			playLoad(t, e, func(is *is.I, f *loadFleet) {
+			newLoadFleet(t, e, func(is *is.I, f *loadFleet) {
 				asks(e, f)
 				began := time.Now()
-				is.Equal(f.o.follow(f.t.Context(), "m", 2, f.target), "done")
-				is.True(time.Since(began) <= closeTime+loadLeast+restPoll)
+				is.Equal(f.o.performLoad(f.t.Context(), "m", 2, f.target), "done")
+				is.True(time.Since(began) <= cordonTime+minLoadTime+maxBackoffPoll)
 				is.Equal(e.orders, 1)
 				is.Equal(e.reports, 2) // before the order, and when the weights are there
 			})
@@ -138,8 +140,8 @@
 // TestLoadIsPlannedInRest guards against weights that never come since callers' requests renew a rest
 // again and again.
 func TestLoadIsPlannedInRest(t *testing.T) {
-	playLoad(t, &countingEngines{}, func(is *is.I, f *loadFleet) {
-		f.hear(Word{Rest: time.Hour})
+	newLoadFleet(t, &countingEngines{}, func(is *is.I, f *loadFleet) {
+		f.applyEvents(Notice{Backoff: time.Hour})
 		is.Equal(len(f.planned()), 1)
 	})
 }
@@ -147,10 +149,10 @@
 // TestNoLoadIsPlannedAfterRefusal guards against targets that are closed, and turns that are taken, for
 // loads that would be refused again, and against a target that is held off for long.
 func TestNoLoadIsPlannedAfterRefusal(t *testing.T) {
-	playLoad(t, &countingEngines{rest: time.Hour}, func(is *is.I, f *loadFleet) {
-		f.o.follow(f.t.Context(), "m", 2, f.target)
+	newLoadFleet(t, &countingEngines{backoff: time.Hour}, func(is *is.I, f *loadFleet) {
+		f.o.performLoad(f.t.Context(), "m", 2, f.target)
 		is.Equal(len(f.planned()), 0)
-		time.Sleep(holdOffMost)
+		time.Sleep(maxDeferTime)
 		is.Equal(len(f.planned()), 1)
 	})
 }
@@ -159,28 +161,28 @@
 // renew a rest again and again, so that callers are refused.
 func TestReportsLeaveTimeToCallers(t *testing.T) {
 	const during = 13 * time.Second
-	playLoad(t, &countingEngines{rest: time.Second}, func(is *is.I, f *loadFleet) {
+	newLoadFleet(t, &countingEngines{backoff: time.Second}, func(is *is.I, f *loadFleet) {
 		ctx, cancel := context.WithTimeout(f.t.Context(), during)
 		defer cancel()
 		done := make(chan struct{})
 		go func() {
 			for ctx.Err() == nil {
-				f.o.follow(ctx, "m", 2, f.target)
+				f.o.performLoad(ctx, "m", 2, f.target)
 			}
 			close(done)
 		}()
 		time.Sleep(time.Second)
-		answers := f.press(pathSafe, 100*time.Millisecond, during-time.Second)
+		answers := f.sendLoad(pathSafe, 100*time.Millisecond, during-time.Second)
 		<-done
-		is.True(count(answers, restAnswer.ours) <= len(answers)/2)
-		is.Equal(count(answers, restAnswer.ours)+count(answers, func(a restAnswer) bool { return a.status == http.StatusOK }), len(answers))
+		is.True(count(answers, backoffResponse.isLocal) <= len(answers)/2)
+		is.Equal(count(answers, backoffResponse.isLocal)+count(answers, func(a backoffResponse) bool { return a.status == http.StatusOK }), len(answers))
 	})
 }
 
 // TestLoadEndsAtLeaver guards against reports and orders at a target that has said, since its load was planned, that it leaves.
 func TestLoadEndsAtLeaver(t *testing.T) {
 	leave := func(f *loadFleet) {
-		f.hear(Word{Leaving: true})
+		f.applyEvents(Notice{Leaving: true})
 		synctest.Wait()
 	}
 	gone := func(f *loadFleet) {
@@ -197,14 +199,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := &countingEngines{}
-			playLoad(t, e, func(is *is.I, f *loadFleet) {
+			newLoadFleet(t, e, func(is *is.I, f *loadFleet) {
 				if c.before != nil {
 					c.before(f)
 				}
 				if c.asked != nil {
 					e.asked = func() { c.asked(f) }
 				}
-				outcome := f.o.follow(f.t.Context(), "m", 2, f.target)
+				outcome := f.o.performLoad(f.t.Context(), "m", 2, f.target)
 				is.Equal(e.reports, c.reports)
 				is.Equal(e.orders, 0)
 				is.True(strings.Contains(outcome, "leaves or is gone"))
@@ -215,9 +217,9 @@
 
 // TestLoadEndsAsReportSaysLeaving guards against an order that follows a report by which its target leaves.
 func TestLoadEndsAsReportSaysLeaving(t *testing.T) {
-	e := &countingEngines{word: Word{Leaving: true}}
-	playLoad(t, e, func(is *is.I, f *loadFleet) {
-		is.True(strings.Contains(f.o.follow(f.t.Context(), "m", 2, f.target), "leaves or is gone"))
+	e := &countingEngines{notice: Notice{Leaving: true}}
+	newLoadFleet(t, e, func(is *is.I, f *loadFleet) {
+		is.True(strings.Contains(f.o.performLoad(f.t.Context(), "m", 2, f.target), "leaves or is gone"))
 		is.Equal(e.reports, 1)
 		is.Equal(e.orders, 0)
 	})
@@ -225,9 +227,9 @@
 
 // TestFollowedLoadEndsAtLeaver guards against reports asked of a target that has said that it leaves after it took an order.
 func TestFollowedLoadEndsAtLeaver(t *testing.T) {
-	e := &countingEngines{word: Word{Leaving: true}}
-	playLoad(t, e, func(is *is.I, f *loadFleet) {
-		outcome := f.o.await(f.t.Context(), "m", 2, f.target, 0)
+	e := &countingEngines{notice: Notice{Leaving: true}}
+	newLoadFleet(t, e, func(is *is.I, f *loadFleet) {
+		outcome := f.o.awaitLoad(f.t.Context(), "m", 2, f.target, 0)
 		is.True(strings.Contains(outcome, "leaves or is gone"))
 		is.Equal(e.reports, 1)
 	})
@@ -236,14 +238,14 @@
 // TestRefusedOrderIsNotRepeatedAtOnce guards against loads, planned one after the other, whose refused orders renew a rest again and again.
 func TestRefusedOrderIsNotRepeatedAtOnce(t *testing.T) {
 	const rest, during = time.Second, 12 * time.Second
-	e := &countingEngines{orderRest: rest}
-	playLoad(t, e, func(is *is.I, f *loadFleet) {
+	e := &countingEngines{orderBackoff: rest}
+	newLoadFleet(t, e, func(is *is.I, f *loadFleet) {
 		ctx, cancel := context.WithTimeout(f.t.Context(), during)
 		defer cancel()
 		for ctx.Err() == nil {
-			f.o.follow(ctx, "m", 2, f.target)
+			f.o.performLoad(ctx, "m", 2, f.target)
 		}
 		is.True(e.orders > 1)
-		is.True(e.orders <= int(during/(holdOffFactor*rest)))
+		is.True(e.orders <= int(during/(deferFactor*rest)))
 	})
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -13,16 +13,16 @@
 
 // Advice on when to come back, by what has to change meanwhile.
 const (
-	comeBackSoon = 250 * time.Millisecond // a queue to shrink, an order to be carried out
-	comeBackNew  = 500 * time.Millisecond // a new process to learn the configuration
+	retryAfterShort   = 250 * time.Millisecond // a queue to shrink, an order to be carried out
+	retryAfterStartup = 500 * time.Millisecond // a new process to learn the configuration
 )
 
 // serveCaller is the whole of one request.
 func (g *Gateway) serveCaller(w http.ResponseWriter, r *http.Request) {
-	g.inHand.Add(1)
-	defer g.inHand.Add(-1)
+	g.inFlight.Add(1)
+	defer g.inFlight.Add(-1)
 	x := &exchange{g: g, w: w, r: r, arrived: g.now(), view: g.view.Load()}
-	if x.view.Draining || x.view.CutOff || len(r.TransferEncoding) > 0 {
+	if x.view.Draining || x.view.Isolated || len(r.TransferEncoding) > 0 {
 		// While stopping, or cut off, callers shall connect anew elsewhere. After a chunked body
 		// the connection is not read further either: a message that also states a
 		// length may hide another request behind its end (RFC 9112, section 6.1).
@@ -49,19 +49,19 @@
 // admit finds out what the request is and whether it may pass.
 func (x *exchange) admit() *problem.Problem {
 	var err error
-	x.call, err = x.g.codec.ReadCall(x.r.Header)
-	x.awaitBeliefs()
+	x.call, err = x.g.codec.ParseRequest(x.r.Header)
+	x.awaitStartup()
 	if x.view.Config == nil {
-		return later(problem.Draining, "this instance has no configuration yet", comeBackNew)
+		return retryLater(problem.Draining, "this instance has no configuration yet", retryAfterStartup)
 	}
-	if !x.view.Listed {
-		return later(problem.Draining, "this instance has no list of targets yet", comeBackNew)
+	if !x.view.TargetsListed {
+		return retryLater(problem.Draining, "this instance has no list of targets yet", retryAfterStartup)
 	}
 	if x.view.EvacuationsUnknown {
-		return later(problem.Draining, "this instance has no list of evacuated zones yet", comeBackNew)
+		return retryLater(problem.Draining, "this instance has no list of evacuated zones yet", retryAfterStartup)
 	}
-	if x.view.CutOff {
-		return later(problem.CutOff, "this instance hears neither the platform nor its peers: it can't know whether its configuration holds", comeBackSoon)
+	if x.view.Isolated {
+		return retryLater(problem.CutOff, "this instance hears neither the platform nor its peers: it can't know whether its configuration holds", retryAfterShort)
 	}
 	cfg := x.view.Config
 	if l := cfg.Limits.HeaderBytes; l > 0 && headerSize(x.r) > l {
@@ -71,11 +71,11 @@
 		return problem.New(problem.NotFound, "no route takes this host and path")
 	}
 	x.deadline = x.arrived.Add(x.timeout())
-	if p := x.stopsFirst(); p != nil {
+	if p := x.checkStop(); p != nil {
 		return p
 	}
 	if cfg.NeedsKey(x.route) {
-		if x.customer = cfg.Customer(x.call.Key); x.customer == nil {
+		if x.customer = cfg.Customer(x.call.APIKey); x.customer == nil {
 			return problem.New(problem.Unauthorized, "the key is not known")
 		}
 	}
@@ -85,42 +85,42 @@
 	if p := x.readBody(cfg.Limits); p != nil {
 		return p
 	}
-	return x.stopsFirst() // time has passed
+	return x.checkStop() // time has passed
 }
 
-// stopsFirst refuses a request that a stop could cut.
-func (x *exchange) stopsFirst() *problem.Problem {
+// checkStop refuses a request that a stop could cut.
+func (x *exchange) checkStop() *problem.Problem {
 	if !x.g.wouldCut(x.deadline) {
 		return nil
 	}
 	x.w.Header().Set("Connection", "close") // the request may have begun to come before the stop
-	return later(problem.Draining, "this instance stops before the request may end", comeBackSoon)
+	return retryLater(problem.Draining, "this instance stops before the request may end", retryAfterShort)
 }
 
 // Bounds of the wait of a request that meets a new process.
 const (
-	// youngWait is long enough for a start in which the object store answers: 20 ms for
+	// startupWait is long enough for a start in which the object store answers: 20 ms for
 	// one process, about a second for hundreds at a time.
-	youngWait = time.Second
-	// youngShare is the part of the caller's patience that the wait may take: what is
+	startupWait = time.Second
+	// startupWaitShare is the part of the caller's patience that the wait may take: what is
 	// left is enough for an answer, or for another try elsewhere.
-	youngShare = 1.0 / 3
+	startupWaitShare = 1.0 / 3
 )
 
-// awaitBeliefs lets a request that comes in a process's first moments wait until the
+// awaitStartup lets a request that comes in a process's first moments wait until the
 // process knows the configuration and the targets.
-func (x *exchange) awaitBeliefs() {
-	if x.view.informed() {
+func (x *exchange) awaitStartup() {
+	if x.view.initialized() {
 		return
 	}
-	limit := youngWait
-	if x.call.Patience > 0 {
-		limit = min(limit, time.Duration(youngShare*float64(x.call.Patience)))
+	limit := startupWait
+	if x.call.Timeout > 0 {
+		limit = min(limit, time.Duration(startupWaitShare*float64(x.call.Timeout)))
 	}
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
-	case <-x.g.informed:
+	case <-x.g.initialized:
 	case <-timer.C:
 	case <-x.r.Context().Done():
 	}
@@ -138,7 +138,7 @@
 	return n
 }
 
-func later(k problem.Kind, detail string, after time.Duration) *problem.Problem {
+func retryLater(k problem.Kind, detail string, after time.Duration) *problem.Problem {
 	p := problem.New(k, detail)
 	p.RetryAfter = after
 	return p
@@ -152,7 +152,7 @@
 func (x *exchange) readBody(l catalog.Limits) *problem.Problem {
 	limit := l.BodyBytes
 	if limit <= 0 {
-		limit = maxBody
+		limit = defaultMaxBodyBytes
 	}
 	if x.r.ContentLength > limit {
 		return problem.New(problem.TooLarge, "the body is larger than allowed")
@@ -176,25 +176,25 @@
 	return nil
 }
 
-// maxBody bounds a body where the configuration does not, in bytes.
-const maxBody = 8 << 20
+// defaultMaxBodyBytes bounds a body where the configuration does not, in bytes.
+const defaultMaxBodyBytes = 8 << 20
 
 // refuse gives the final answer of our own, at once.
 func (x *exchange) refuse(p *problem.Problem) {
 	x.endTrial()
 	p.RequestID = x.call.ID
 	// A status that promises "not run" may be given only if that is known.
-	if p.Execution != problem.NotRun && promisesNotRun(p.Status()) {
+	if p.Execution != problem.NotRun && impliesNotExecuted(p.Status()) {
 		p.Kind = problem.TargetFailed
 	}
-	x.g.codec.RefuseHeader(x.w.Header(), x.call.ID, p.RetryAfter)
+	x.g.codec.ProblemHeader(x.w.Header(), x.call.ID, p.RetryAfter)
 	x.finish(p.Status(), string(p.Kind), p.Detail)
 	p.WriteBody(x.w)
 }
 
-// promisesNotRun says which statuses tell a caller that its request has not run
+// impliesNotExecuted says which statuses tell a caller that its request has not run
 // and never will.
-func promisesNotRun(status int) bool {
+func impliesNotExecuted(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
--- a/internal/gateway/serve_test.go
+++ b/internal/gateway/serve_test.go
@@ -16,7 +16,7 @@
 // TestAwaitBeliefs: a request that meets a new process waits until the process knows enough,
 // for a bounded time and a part of its caller's patience, and no longer than its caller.
 func TestAwaitBeliefs(t *testing.T) {
-	known := &View{Config: catalog.NewConfig(catalog.Draft{}), Listed: true}
+	known := &View{Config: catalog.NewConfig(catalog.Draft{}), TargetsListed: true}
 	never := time.Hour
 	cases := []struct {
 		name     string
@@ -28,7 +28,7 @@
 	}{
 		{"known before", 0, 0, never, 0, true},
 		{"known soon", 20 * time.Millisecond, 4 * time.Second, never, 20 * time.Millisecond, true},
-		{"not in time", 2 * time.Second, 12 * time.Second, never, youngWait, false},
+		{"not in time", 2 * time.Second, 12 * time.Second, never, startupWait, false},
 		{"little patience", 2 * time.Second, 600 * time.Millisecond, never, 200 * time.Millisecond, false},
 		{"the caller leaves", 2 * time.Second, 0, 50 * time.Millisecond, 50 * time.Millisecond, false},
 	}
@@ -36,8 +36,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				g := &Gateway{informed: make(chan struct{})}
-				know := func() { g.view.Store(known); close(g.informed) }
+				g := &Gateway{initialized: make(chan struct{})}
+				know := func() { g.view.Store(known); close(g.initialized) }
 				if c.known == 0 {
 					know()
 				} else {
@@ -46,11 +46,11 @@
 				ctx, leave := context.WithCancel(t.Context())
 				time.AfterFunc(c.leaves, leave)
 				r := (&http.Request{}).WithContext(ctx)
-				x := &exchange{g: g, r: r, view: g.view.Load(), call: Call{Patience: c.patience}}
+				x := &exchange{g: g, r: r, view: g.view.Load(), call: CallerRequest{Timeout: c.patience}}
 				began := time.Now()
-				x.awaitBeliefs()
+				x.awaitStartup()
 				is.Equal(time.Since(began), c.want)
-				is.Equal(x.view.informed(), c.informed)
+				is.Equal(x.view.initialized(), c.informed)
 				wait.For(t.Context(), 2*never)
 			})
 		})
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -25,11 +25,11 @@
 	// evacuate; 0: they evacuate none.
 	EvacuateWithin time.Duration
 	// A cold target may get as many requests a second as its service bears, times
-	// ColdOverage, plus ColdSlack, from all instances together.
-	ColdOverage float64
-	ColdSlack   float64
-	Retry       RetryBudget
-	Policy      policy.Policy // how requests are placed; all mechanisms but in experiments
+	// WarmupOverage, plus WarmupSlack, from all instances together.
+	WarmupOverage float64
+	WarmupSlack   float64
+	Retry         RetryBudget
+	Policy        policy.Policy // how requests are placed; all mechanisms but in experiments
 }
 
 // RetryBudget bounds the retries of the whole fleet to one service: in any
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -12,15 +12,15 @@
 
 // Times of a graceful stop.
 const (
-	// noticeTime is how long the balancer may still send new connections: it asks
+	// balancerNoticeTime is how long the balancer may still send new connections: it asks
 	// once a second and takes an instance out after two refusals.
-	noticeTime = 2300 * time.Millisecond
+	balancerNoticeTime = 2300 * time.Millisecond
 	// lingerAfterNotice is how long unused connections are kept after that. Requests that come
 	// in half of it have five seconds left until they are cut.
 	lingerAfterNotice = time.Second
-	// takenUntil is how long after a stop began requests are taken however long they may last:
+	// acceptTime is how long after a stop began requests are taken however long they may last:
 	// callers that were under way then have sent by that time.
-	takenUntil = 2900 * time.Millisecond
+	acceptTime = 2900 * time.Millisecond
 	// stopMargin is what is left of the time to stop when requests are cut, so
 	// that the process ends by itself.
 	stopMargin = 500 * time.Millisecond
@@ -39,21 +39,21 @@
 // *CutError if the time to stop passed, or ctx ended, first.
 func (g *Gateway) Shutdown(ctx context.Context) error {
 	within, began := g.settings().StopWithin-stopMargin, g.now()
-	g.stopTimes.Store(&drain.Times{TakenUntil: began.Add(takenUntil), Cut: began.Add(within)})
-	g.send(stopping{})
-	g.query(func(*control) {})
-	g.log.WithField("in_hand", g.inHand.Load()).Info("stopping")
+	g.stopTimes.Store(&drain.Times{TakenUntil: began.Add(acceptTime), Cut: began.Add(within)})
+	g.sendEvent(shutdownBegun{})
+	g.queryControl(func(*controlState) {})
+	g.log.WithField("in_hand", g.inFlight.Load()).Info("stopping")
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
-	wait.For(ctx, noticeTime)
+	wait.For(ctx, balancerNoticeTime)
 	err := drain.Stop(ctx, g.callerSrv, g.callerLn, &g.callerConns, lingerAfterNotice)
-	cut := g.inHand.Load()
+	cut := g.inFlight.Load()
 	if err != nil {
 		g.callerSrv.Close()
 	}
-	g.leave()
+	g.announceLeave()
 	g.Kill()
-	g.done.Wait()
+	g.goroutines.Wait()
 	if err != nil && cut > 0 {
 		g.log.WithField("requests", cut).Error("stop cut requests")
 		return &CutError{Requests: cut}
--- a/internal/gateway/shutdown_edge_test.go
+++ b/internal/gateway/shutdown_edge_test.go
@@ -28,16 +28,16 @@
 	beforeCut = 200 * time.Millisecond
 	// edgeLast is the latest deadline of what is taken late.
 	edgeLast = edgeCut - answerTime
-	// atOnce is the longest time to an answer that nothing is waited for.
-	atOnce = 4 * hop
-	// forever is longer than any stop.
-	forever = 20 * time.Second
+	// immediately is the longest time to an answer that nothing is waited for.
+	immediately = 4 * networkDelay
+	// neverEnds is longer than any stop.
+	neverEnds = 20 * time.Second
 	// edgePause is the time between the pieces of a target's answer.
 	edgePause = 100 * time.Millisecond
 )
 
-// edgePatience is the header that says how long a caller waits.
-const edgePatience = "Patience"
+// edgeTimeout is the header that says how long a caller waits.
+const edgeTimeout = "Patience"
 
 // lastPiece ends each whole answer of an edgeTarget.
 const lastPiece = "data: end\n\n"
@@ -50,21 +50,21 @@
 	public  bool
 }
 
-// Config implements Codec.
-func (c edgeCodec) Config(value []byte) (*catalog.Config, error) {
-	cfg, err := c.trafficCodec.Config(value)
+// DecodeConfig implements Codec.
+func (c edgeCodec) DecodeConfig(value []byte) (*catalog.Config, error) {
+	cfg, err := c.trafficCodec.DecodeConfig(value)
 	if err == nil {
-		r := cfg.Route(hostAll, pathOnce)
+		r := cfg.Route(anyHost, pathOnce)
 		r.Kind, r.Timeout, r.Public = c.kind, c.timeout, c.public
 	}
 	return cfg, err
 }
 
-// ReadCall implements Codec.
-func (c edgeCodec) ReadCall(h http.Header) (Call, error) {
-	call, err := c.trafficCodec.ReadCall(h)
-	if text := h.Get(edgePatience); err == nil && text != "" {
-		call.Patience, err = time.ParseDuration(text)
+// ParseRequest implements Codec.
+func (c edgeCodec) ParseRequest(h http.Header) (CallerRequest, error) {
+	call, err := c.trafficCodec.ParseRequest(h)
+	if text := h.Get(edgeTimeout); err == nil && text != "" {
+		call.Timeout, err = time.ParseDuration(text)
 	}
 	return call, err
 }
@@ -110,8 +110,8 @@
 	stopped chan error
 }
 
-// onEdge runs a test on a fleet of its own under a fake clock.
-func onEdge(t *testing.T, codec edgeCodec, test func(f *edgeFleet)) {
+// atStopEdge runs a test on a fleet of its own under a fake clock.
+func atStopEdge(t *testing.T, codec edgeCodec, test func(f *edgeFleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &edgeFleet{trafficFleet: newFleetWith(t, 1, 1, 1, fleetOptions{codec: codec}), is: is.New(t), codec: codec,
 			target: &edgeTarget{}, stopped: make(chan error, 1)}
@@ -124,7 +124,7 @@
 // stop begins the instance's stop some time from now.
 func (f *edgeFleet) stop(in time.Duration) {
 	f.began = time.Now().Add(in)
-	time.AfterFunc(in, func() { f.stopped <- f.gates[0].Shutdown(f.t.Context()) })
+	time.AfterFunc(in, func() { f.stopped <- f.gateways[0].Shutdown(f.t.Context()) })
 }
 
 // until waits for a moment of the stop.
@@ -138,7 +138,7 @@
 }
 
 func (f *edgeFleet) dial() *edgeCall {
-	conn := f.call(0)
+	conn := f.dialCaller(0)
 	return &edgeCall{f: f, Conn: conn, r: bufio.NewReader(conn)}
 }
 
@@ -148,19 +148,19 @@
 // request is the text of a request that a target works on for so long.
 func (f *edgeFleet) request(lasts, patience time.Duration) string {
 	f.seq++
-	text := fmt.Sprintf("POST %s%s HTTP/1.1\r\nHost: %s\r\n%s: r-%d\r\nContent-Length: %d\r\n", pathOnce, lasts, hostAll, trafficID, f.seq, len(edgeBody))
+	text := fmt.Sprintf("POST %s%s HTTP/1.1\r\nHost: %s\r\n%s: r-%d\r\nContent-Length: %d\r\n", pathOnce, lasts, anyHost, trafficID, f.seq, len(edgeBody))
 	if !f.codec.public {
 		text += trafficKey + ": key\r\n"
 	}
 	if patience > 0 {
-		text += edgePatience + ": " + patience.String() + "\r\n"
+		text += edgeTimeout + ": " + patience.String() + "\r\n"
 	}
 	return text + "\r\n" + edgeBody
 }
 
 // send sends a text so that it arrives at that moment of the stop.
 func (c *edgeCall) send(since time.Duration, text string) {
-	c.f.until(since - hop)
+	c.f.until(since - networkDelay)
 	c.write(text)
 }
 
@@ -196,7 +196,7 @@
 	c.f.is.True(whole)
 	c.f.is.True(strings.Contains(body, `"not-run"`))
 	c.f.is.True(resp.Close)
-	c.f.is.True(time.Since(c.f.began) <= since+atOnce)
+	c.f.is.True(time.Since(c.f.began) <= since+immediately)
 	_, err := c.r.ReadByte()
 	c.f.is.Equal(err, io.EOF) // the connection ends
 	c.f.is.Equal(c.f.target.arrivals.Load(), arrivals)
@@ -212,12 +212,12 @@
 // late begins a stop and opens a connection by its way, on which a request is to come at that
 // moment of the stop. It returns the connection, and how many requests the target got by then.
 func (f *edgeFleet) late(way string, since time.Duration) (c *edgeCall, arrivals int64) {
-	const opened = noticeTime + lingerAfterNotice/4
+	const opened = balancerNoticeTime + lingerAfterNotice/4
 	switch way {
 	case onKept:
 		c = f.dial()
 		c.write(f.request(since-edgePause, 0))
-		f.stop(2 * hop) // once it has begun
+		f.stop(2 * networkDelay) // once it has begun
 		c.isWhole()
 		return c, 1
 	case onUnused:
@@ -234,7 +234,7 @@
 
 // TestStopTakesAtItsEdges guards against a late request that is taken and cut, or refused though it ends in time.
 func TestStopTakesAtItsEdges(t *testing.T) {
-	for _, since := range []time.Duration{takenUntil - time.Millisecond, takenUntil, takenUntil + 1, 3 * time.Second, 3700 * time.Millisecond} {
+	for _, since := range []time.Duration{acceptTime - time.Millisecond, acceptTime, acceptTime + 1, 3 * time.Second, 3700 * time.Millisecond} {
 		for _, over := range []time.Duration{-time.Millisecond, 0, 1, time.Second} {
 			for _, way := range []string{onUnused, onKept, onNew} {
 				for _, kind := range []catalog.RequestKind{catalog.Once, catalog.Streaming} {
@@ -242,10 +242,10 @@
 						name := fmt.Sprintf("%v/%+v/%s/%v/public=%v", since, over, way, kind, public)
 						codec := edgeCodec{kind: kind, timeout: edgeLast - since + over, public: public}
 						t.Run(name, func(t *testing.T) {
-							onEdge(t, codec, func(f *edgeFleet) {
+							atStopEdge(t, codec, func(f *edgeFleet) {
 								c, arrivals := f.late(way, since)
 								c.send(since, f.request(edgeCut-since-beforeCut, 0))
-								if since > takenUntil && over > 0 {
+								if since > acceptTime && over > 0 {
 									c.isRefused(since, arrivals)
 								} else {
 									c.isWhole()
@@ -266,7 +266,7 @@
 	const since = 3200 * time.Millisecond
 	for over, refused := range map[time.Duration]bool{-time.Second: false, -time.Millisecond: false, 1: true, time.Second: true} {
 		t.Run(over.String(), func(t *testing.T) {
-			onEdge(t, edgeCodec{kind: catalog.Streaming, timeout: forever}, func(f *edgeFleet) {
+			atStopEdge(t, edgeCodec{kind: catalog.Streaming, timeout: neverEnds}, func(f *edgeFleet) {
 				c, _ := f.late(onUnused, since)
 				c.send(since, f.request(time.Second, edgeLast-since+over))
 				if refused {
@@ -284,9 +284,9 @@
 // route nor its caller says how long it may last.
 func TestStopKnowsTheDefaultTimeout(t *testing.T) {
 	const since = 3200 * time.Millisecond
-	onEdge(t, edgeCodec{kind: catalog.Streaming}, func(f *edgeFleet) {
+	atStopEdge(t, edgeCodec{kind: catalog.Streaming}, func(f *edgeFleet) {
 		c, _ := f.late(onUnused, since)
-		c.send(since, f.request(forever, 0))
+		c.send(since, f.request(neverEnds, 0))
 		c.isRefused(since, 0)
 		f.is.NoErr(<-f.stopped)
 	})
@@ -298,9 +298,9 @@
 	const since = 3200 * time.Millisecond
 	for _, less := range []time.Duration{0, 1, time.Millisecond, answerTime - 1, answerTime, 2 * answerTime} {
 		t.Run(less.String(), func(t *testing.T) {
-			onEdge(t, edgeCodec{kind: catalog.Once, timeout: edgeCut - since - less}, func(f *edgeFleet) {
+			atStopEdge(t, edgeCodec{kind: catalog.Once, timeout: edgeCut - since - less}, func(f *edgeFleet) {
 				c, _ := f.late(onUnused, since)
-				c.send(since, f.request(forever, 0))
+				c.send(since, f.request(neverEnds, 0))
 				if less < answerTime {
 					c.isRefused(since, 0)
 				} else {
@@ -318,13 +318,13 @@
 // then begun, though it may not end before the cut; also where it began to come before the stop.
 func TestStopRefusesLateBodies(t *testing.T) {
 	const end = 3200 * time.Millisecond
-	for _, head := range []time.Duration{-time.Second, takenUntil - 50*time.Millisecond} {
-		for timeout, refused := range map[time.Duration]bool{forever: true, edgeLast - head + 1: true, edgeLast - head: false} {
+	for _, head := range []time.Duration{-time.Second, acceptTime - 50*time.Millisecond} {
+		for timeout, refused := range map[time.Duration]bool{neverEnds: true, edgeLast - head + 1: true, edgeLast - head: false} {
 			t.Run(fmt.Sprintf("%v/%v", head, timeout), func(t *testing.T) {
-				onEdge(t, edgeCodec{kind: catalog.Streaming, timeout: timeout}, func(f *edgeFleet) {
+				atStopEdge(t, edgeCodec{kind: catalog.Streaming, timeout: timeout}, func(f *edgeFleet) {
 					c, text := f.dial(), f.request(edgeCut-end-beforeCut, 0)
 					half := len(text) - len(edgeBody)/2
-					f.stop(max(0, -head) + hop)
+					f.stop(max(0, -head) + networkDelay)
 					c.send(head, text[:half])
 					c.send(end, text[half:])
 					if refused {
@@ -343,7 +343,7 @@
 // because its body comes for longer than the request may last, until the stop cuts.
 func TestStopAnswersSlowBodies(t *testing.T) {
 	const head, timeout = 3200 * time.Millisecond, time.Second
-	onEdge(t, edgeCodec{kind: catalog.Once, timeout: timeout}, func(f *edgeFleet) {
+	atStopEdge(t, edgeCodec{kind: catalog.Once, timeout: timeout}, func(f *edgeFleet) {
 		c, _ := f.late(onUnused, head)
 		text := f.request(0, 0)
 		c.send(head, text[:len(text)-1])
@@ -362,11 +362,11 @@
 	for _, over := range []time.Duration{-beforeCut, beforeCut} {
 		for _, kind := range []catalog.RequestKind{catalog.Once, catalog.Streaming} {
 			t.Run(over.String()+"/"+kind.String(), func(t *testing.T) {
-				onEdge(t, edgeCodec{kind: kind, timeout: forever}, func(f *edgeFleet) {
+				atStopEdge(t, edgeCodec{kind: kind, timeout: neverEnds}, func(f *edgeFleet) {
 					const since = 3 * time.Second // what comes from here on may not be cut
 					before, late := f.dial(), f.dial()
 					before.write(f.request(edgeCut+over, 0))
-					f.stop(2 * hop) // once it has begun
+					f.stop(2 * networkDelay) // once it has begun
 					late.send(since, f.request(0, 0))
 					late.isRefused(since, 1)
 					if over < 0 {
--- a/internal/gateway/shutdown_late_test.go
+++ b/internal/gateway/shutdown_late_test.go
@@ -15,42 +15,42 @@
 	"github.com/shedhoist/shedhoist/internal/catalog"
 )
 
-// longPath is that of requests that take longRun.
+// longRunPath is that of requests that take longRun.
 const (
-	longPath = "/once/long"
-	longRun  = 6 * time.Second
+	longRunPath = "/once/long"
+	longRun     = 6 * time.Second
 )
 
 // longCodec is a dialect whose requests may take 10 s.
 type longCodec struct{ trafficCodec }
 
-// Config implements Codec.
-func (c longCodec) Config(value []byte) (*catalog.Config, error) {
-	cfg, err := c.trafficCodec.Config(value)
+// DecodeConfig implements Codec.
+func (c longCodec) DecodeConfig(value []byte) (*catalog.Config, error) {
+	cfg, err := c.trafficCodec.DecodeConfig(value)
 	if err == nil {
-		cfg.Route(hostAll, longPath).Timeout = 10 * time.Second
+		cfg.Route(anyHost, longRunPath).Timeout = 10 * time.Second
 	}
 	return cfg, err
 }
 
 // TestStopRefusesWhatItWouldCut guards against a late request that a stop takes and cuts, or refuses needlessly.
 func TestStopRefusesWhatItWouldCut(t *testing.T) {
-	for path, want := range map[string]int{longPath: http.StatusServiceUnavailable, pathSafe + "x": http.StatusOK} {
+	for path, want := range map[string]int{longRunPath: http.StatusServiceUnavailable, pathSafe + "x": http.StatusOK} {
 		t.Run(path, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				f := newFleetWith(t, 1, 1, 1, fleetOptions{codec: longCodec{}, arrived: func(_ *memoryTarget, r *http.Request) {
-					if r.URL.Path == longPath {
+					if r.URL.Path == longRunPath {
 						time.Sleep(longRun)
 					}
 				}})
 				defer f.stop()
-				request := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: %s\r\n%s: late\r\n%s: key\r\nContent-Length: 1\r\n\r\nx", path, hostAll, trafficID, trafficKey)
-				conn := f.call(0)
+				request := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: %s\r\n%s: late\r\n%s: key\r\nContent-Length: 1\r\n\r\nx", path, anyHost, trafficID, trafficKey)
+				conn := f.dialCaller(0)
 				_, err := io.WriteString(conn, request[:10])
 				is.NoErr(err)
 				stopped := make(chan error, 1)
-				go func() { stopped <- f.gates[0].Shutdown(t.Context()) }()
+				go func() { stopped <- f.gateways[0].Shutdown(t.Context()) }()
 				time.Sleep(3100 * time.Millisecond)
 				_, err = io.WriteString(conn, request[10:])
 				is.NoErr(err)
--- a/internal/gateway/shutdown_reload_test.go
+++ b/internal/gateway/shutdown_reload_test.go
@@ -13,14 +13,14 @@
 	const since = 3200 * time.Millisecond
 	for within, over := range map[time.Duration]time.Duration{time.Hour: 1, since: 0} {
 		t.Run(within.String(), func(t *testing.T) {
-			onEdge(t, edgeCodec{kind: catalog.Streaming, timeout: edgeLast - since + over}, func(f *edgeFleet) {
+			atStopEdge(t, edgeCodec{kind: catalog.Streaming, timeout: edgeLast - since + over}, func(f *edgeFleet) {
 				c, _ := f.late(onUnused, since)
-				f.until(noticeTime)
-				next := *f.gates[0].settings()
+				f.until(balancerNoticeTime)
+				next := *f.gateways[0].settings()
 				next.StopWithin = within
-				f.gates[0].Reload(&next)
+				f.gateways[0].Reload(&next)
 				if over > 0 {
-					c.send(since, f.request(forever, 0))
+					c.send(since, f.request(neverEnds, 0))
 					c.isRefused(since, 0)
 				} else {
 					c.send(since, f.request(edgeCut-since-beforeCut, 0))
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -14,8 +14,8 @@
 	"github.com/matryer/is"
 )
 
-// pieceOf is a request in two pieces.
-var pieceOf = [2]string{"GET /x HTTP/1.1\r\nHost: a.example\r\n", "\r\n"}
+// bodyPiece is a request in two pieces.
+var bodyPiece = [2]string{"GET /x HTTP/1.1\r\nHost: a.example\r\n", "\r\n"}
 
 // TestStopAnswersWhatItReads guards against a stop that ends a request without an answer while it reads its header.
 func TestStopAnswersWhatItReads(t *testing.T) {
@@ -34,14 +34,14 @@
 			is.Equal(resp.StatusCode, http.StatusNotFound)
 			is.True(resp.Close)
 		}
-		silent, begun := f.call(0), f.call(0)
-		send(begun, pieceOf[0])
+		silent, begun := f.dialCaller(0), f.dialCaller(0)
+		send(begun, bodyPiece[0])
 		stopped := make(chan error, 1)
-		go func() { stopped <- f.gates[0].Shutdown(t.Context()) }()
-		time.Sleep(noticeTime + 100*time.Millisecond)
-		send(begun, pieceOf[1])
+		go func() { stopped <- f.gateways[0].Shutdown(t.Context()) }()
+		time.Sleep(balancerNoticeTime + 100*time.Millisecond)
+		send(begun, bodyPiece[1])
 		answered(begun)
-		send(silent, pieceOf[0]+pieceOf[1])
+		send(silent, bodyPiece[0]+bodyPiece[1])
 		answered(silent)
 		is.NoErr(<-stopped)
 	})
@@ -53,14 +53,14 @@
 		is := is.New(t)
 		f := newMemoryFleet(t, 1, 1)
 		defer f.stop()
-		conn := f.call(0)
-		_, err := io.WriteString(conn, pieceOf[0]+pieceOf[1])
+		conn := f.dialCaller(0)
+		_, err := io.WriteString(conn, bodyPiece[0]+bodyPiece[1])
 		is.NoErr(err)
 		_, err = http.ReadResponse(bufio.NewReader(conn), nil)
 		is.NoErr(err)
 		began := time.Now()
-		is.NoErr(f.gates[0].Shutdown(t.Context()))
-		is.True(time.Since(began) < noticeTime+time.Second)
+		is.NoErr(f.gateways[0].Shutdown(t.Context()))
+		is.True(time.Since(began) < balancerNoticeTime+time.Second)
 	})
 }
 
@@ -70,19 +70,19 @@
 		is := is.New(t)
 		f := newMemoryFleet(t, 1, 1)
 		defer f.stop()
-		unused, begun := f.call(0), f.call(0)
-		_, err := io.WriteString(unused, pieceOf[0]+pieceOf[1])
+		unused, begun := f.dialCaller(0), f.dialCaller(0)
+		_, err := io.WriteString(unused, bodyPiece[0]+bodyPiece[1])
 		is.NoErr(err)
 		r := bufio.NewReader(unused)
 		_, err = http.ReadResponse(r, nil)
 		is.NoErr(err)
 		_, err = io.Copy(io.Discard, io.LimitReader(r, 1))
 		is.NoErr(err)
-		_, err = io.WriteString(begun, pieceOf[0]) // what holds the stop up
+		_, err = io.WriteString(begun, bodyPiece[0]) // what holds the stop up
 		is.NoErr(err)
 		stopped := make(chan error, 1)
-		go func() { stopped <- f.gates[0].Shutdown(t.Context()) }()
-		time.Sleep(noticeTime + 100*time.Millisecond)
+		go func() { stopped <- f.gateways[0].Shutdown(t.Context()) }()
+		time.Sleep(balancerNoticeTime + 100*time.Millisecond)
 		_, err = io.Copy(io.Discard, r)
 		is.NoErr(err) // it has ended
 		select {
@@ -105,11 +105,11 @@
 		served, cut := 0, 0
 		callers.Go(func() {
 			for ctx.Err() == nil {
-				conn, err := f.net.dialFrom("caller")(ctx, "memory", f.gates[0].CallerAddr())
+				conn, err := f.net.dialFrom("caller")(ctx, "memory", f.gateways[0].CallerAddr())
 				if err != nil {
 					return // it takes no more
 				}
-				if _, err := io.WriteString(conn, pieceOf[0]+pieceOf[1]); err != nil {
+				if _, err := io.WriteString(conn, bodyPiece[0]+bodyPiece[1]); err != nil {
 					cut++
 				} else if _, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil {
 					cut++
@@ -121,7 +121,7 @@
 			}
 		})
 		time.Sleep(time.Second)
-		is.NoErr(f.gates[0].Shutdown(t.Context()))
+		is.NoErr(f.gateways[0].Shutdown(t.Context()))
 		cancel()
 		callers.Wait()
 		is.True(served > 100)
--- a/internal/gateway/staleness.go
+++ b/internal/gateway/staleness.go
@@ -24,156 +24,156 @@
 
 // Pace of ages, and what follows from them.
 const (
-	// agesEvery is how often a top asks the watchers for their ages. Others get them with
-	// the directory of cache stores, see pullGap, and everybody with probes.
-	agesEvery = 250 * time.Millisecond
-	// agesOfTops is how many other tops it asks too: one of them may have asked the store
+	// stalenessPollInterval is how often a top asks the watchers for their ages. Others get them with
+	// the directory of cache stores, see pullInterval, and everybody with probes.
+	stalenessPollInterval = 250 * time.Millisecond
+	// stalenessPolledTops is how many other tops it asks too: one of them may have asked the store
 	// where no watcher could.
-	agesOfTops = 2
-	// agesTimeout bounds the question: ages that come later than the next ones are no use.
-	agesTimeout = 500 * time.Millisecond
+	stalenessPolledTops = 2
+	// stalenessPollTimeout bounds the question: ages that come later than the next ones are no use.
+	stalenessPollTimeout = 500 * time.Millisecond
 
-	// topDoubt is how much older than a watcher's watch of a kind lasts a top's copy must be
+	// topStaleMargin is how much older than a watcher's watch of a kind lasts a top's copy must be
 	// for the top to ask the store itself. One watcher alone keeps it younger, since it is
-	// asked every agesEvery. A configuration is asked for after 1.2 s then, which leaves more
+	// asked every stalenessPollInterval. A configuration is asked for after 1.2 s then, which leaves more
 	// than a second of the 2 to 3 s that a change may take for the spread of what is found.
-	topDoubt = 400 * time.Millisecond
-	// othersDoubt is the same for the others, which hear of what tops find within two steps
+	topStaleMargin = 400 * time.Millisecond
+	// otherStaleMargin is the same for the others, which hear of what tops find within two steps
 	// of the tree. Only where the tops are cut off too it is reached.
-	othersDoubt = 1100 * time.Millisecond
-	// doubtStep is how much later each doubtGroup of instances, by rank, asks than the one
-	// before: what the first find reaches the rest, and few ask in vain. doubtLatest bounds
+	otherStaleMargin = 1100 * time.Millisecond
+	// staleDelayStep is how much later each staleDelayGroup of instances, by rank, asks than the one
+	// before: what the first find reaches the rest, and few ask in vain. maxStaleDelay bounds
 	// that, so that no rank is so low that a change comes too late.
-	doubtStep   = 50 * time.Millisecond
-	doubtGroup  = 8
-	doubtLatest = 300 * time.Millisecond
-	// doubtPoll is the shortest pause between two looks at the age.
-	doubtPoll = 10 * time.Millisecond
+	staleDelayStep  = 50 * time.Millisecond
+	staleDelayGroup = 8
+	maxStaleDelay   = 300 * time.Millisecond
+	// minStalePoll is the shortest pause between two looks at the age.
+	minStalePoll = 10 * time.Millisecond
 
-	// firstHandFor is how long what changes after such a question counts as found by it: all
+	// firstSourceTTL is how long what changes after such a question counts as found by it: all
 	// three kinds are asked for at once, and answers of a slow store take a quarter of it.
-	firstHandFor = time.Second
+	firstSourceTTL = time.Second
 
-	// answerWay is the longest time that a watch's answer with changes is taken to have been
+	// maxAnswerTransit is the longest time that a watch's answer with changes is taken to have been
 	// under way: a slow store's answers take 60 times the usual 4 ms.
-	answerWay = 300 * time.Millisecond
+	maxAnswerTransit = 300 * time.Millisecond
 
-	// cutOffTicks is for how many ticks of the control goroutine an instance must seem cut
+	// isolationTicks is for how many ticks of the control goroutine an instance must seem cut
 	// off: one that stood still for a while hears its peers within that time.
-	cutOffTicks = 6
+	isolationTicks = 6
 )
 
-// watchedAt is as of when a watch's answer holds. One without changes comes when the watch
+// watchValidAt is as of when a watch's answer holds. One without changes comes when the watch
 // has waited its time; one with changes was under way for a while, or the call was.
-func watchedAt(asked, answered time.Time, waited time.Duration, changes int) time.Time {
+func watchValidAt(asked, answered time.Time, waited time.Duration, changes int) time.Time {
 	if changes == 0 && answered.Sub(asked) >= waited {
 		return asked.Add(waited)
 	}
-	if at := answered.Add(-answerWay); at.After(asked) {
+	if at := answered.Add(-maxAnswerTransit); at.After(asked) {
 		return at
 	}
 	return asked
 }
 
-// confirm notes that all that the object store holds of a kind was told, as of a moment. It
+// confirmComplete notes that all that the object store holds of a kind was told, as of a moment. It
 // goes the way of what was told, and returns when both have taken effect.
-func (g *Gateway) confirm(k fresh.Kind, at time.Time) {
-	g.query(func(c *control) {
-		c.noteFresh()
-		have := c.have()
-		newest := [...]uint64{fresh.Config: have.Config, fresh.Targets: uint64(have.Targets), fresh.Versions: uint64(have.Versions), fresh.Evacuations: uint64(have.Evacuations)}
-		c.fresh.Confirm(k, newest[k], at)
+func (g *Gateway) confirmComplete(k fresh.Kind, at time.Time) {
+	g.queryControl(func(c *controlState) {
+		c.noteStaleness()
+		have := c.stateVersions()
+		newest := [...]uint64{fresh.Config: have.Config, fresh.Targets: uint64(have.Targets), fresh.Versions: uint64(have.NamedVersions), fresh.Evacuations: uint64(have.Evacuations)}
+		c.staleness.Confirm(k, newest[k], at)
 	})
 }
 
-// noteFresh tells the book of ages up to where the copies are complete.
-func (c *control) noteFresh() {
-	if c.fresh == nil {
+// noteStaleness tells the book of ages up to where the copies are complete.
+func (c *controlState) noteStaleness() {
+	if c.staleness == nil {
 		return // nobody asks for ages
 	}
-	known := c.known()
-	c.fresh.Have(fresh.Config, known.Config)
-	c.fresh.Have(fresh.Targets, uint64(known.Targets))
-	c.fresh.Have(fresh.Versions, uint64(known.Versions))
-	c.fresh.Have(fresh.Evacuations, uint64(known.Evacuations))
+	known := c.knownVersions()
+	c.staleness.Have(fresh.Config, known.Config)
+	c.staleness.Have(fresh.Targets, uint64(known.Targets))
+	c.staleness.Have(fresh.Versions, uint64(known.NamedVersions))
+	c.staleness.Have(fresh.Evacuations, uint64(known.Evacuations))
 }
 
-// doubtAge is the age of a copy from which this instance asks the object store itself.
-func (v *View) doubtAge(f feed) time.Duration {
-	if v.Tree.position().follows {
-		return f.watcher + topDoubt
+// staleAge is the age of a copy from which this instance asks the object store itself.
+func (v *View) staleAge(f feed) time.Duration {
+	if v.Tree.position().polls {
+		return f.watcherTimeout + topStaleMargin
 	}
-	return f.watcher + othersDoubt + min(time.Duration(v.WatchRank/doubtGroup)*doubtStep, doubtLatest)
+	return f.watcherTimeout + otherStaleMargin + min(time.Duration(v.WatchRank/staleDelayGroup)*staleDelayStep, maxStaleDelay)
 }
 
-// untilDoubt is how long a feed's copy will still be young enough, if nothing is heard.
-func (g *Gateway) untilDoubt(f feed) time.Duration {
+// timeUntilStale is how long a feed's copy will still be young enough, if nothing is heard.
+func (g *Gateway) timeUntilStale(f feed) time.Duration {
 	age, known := f.age()
 	if !known {
-		return newsPoll // it was listed just now, and that is to be noted yet
+		return updatePoll // it was listed just now, and that is to be noted yet
 	}
-	return g.view.Load().doubtAge(f) - age
+	return g.view.Load().staleAge(f) - age
 }
 
-// newsPause is how long an instance that goes by news waits before it looks again whether it
+// updatePause is how long an instance that goes by news waits before it looks again whether it
 // still may.
-func (g *Gateway) newsPause(f feed, news bool) time.Duration {
+func (g *Gateway) updatePause(f feed, news bool) time.Duration {
 	if !news || f.age == nil {
-		return newsPoll
+		return updatePoll
 	}
-	return min(max(g.untilDoubt(f), doubtPoll), newsPoll)
+	return min(max(g.timeUntilStale(f), minStalePoll), updatePoll)
 }
 
-// doubts says whether an instance that goes by news must ask the object store about a kind.
+// isStale says whether an instance that goes by news must ask the object store about a kind.
 // If the watchers are lost for one that is watched closely, they are for the others too.
-func (g *Gateway) doubts(f feed, news bool) bool {
-	if !news || f.age == nil || g.untilDoubt(f) > 0 {
+func (g *Gateway) isStale(f feed, news bool) bool {
+	if !news || f.age == nil || g.timeUntilStale(f) > 0 {
 		return false
 	}
 	age, _ := f.age()
 	g.log.WithField("kind", f.kind).WithField("age_ms", age.Milliseconds()).WithField("rank", g.view.Load().WatchRank).Info("news in doubt, asking the object store")
 	metric.NewsDoubted.Inc()
-	g.send(firstHand{})
-	for _, due := range f.doubtedToo {
+	g.sendEvent(storeReadBegun{})
+	for _, due := range f.alsoRefresh {
 		due.Raise()
 	}
 	return true
 }
 
-// firstHand says that what comes next from the object store may be news to all.
-type firstHand struct{}
+// firstSourceUntil says that what comes next from the object store may be news to all.
+type storeReadBegun struct{}
 
-func (firstHand) apply(c *control) { c.firstHand = c.now().Add(firstHandFor) }
+func (storeReadBegun) apply(c *controlState) { c.firstSourceUntil = c.now().Add(firstSourceTTL) }
 
-// AgesAsk asks an instance for the ages of its copies.
-type AgesAsk struct{}
+// AgesRequest asks an instance for the ages of its copies.
+type AgesRequest struct{}
 
-// Ages is the answer.
-type Ages struct {
-	Fresh []fresh.Word `cbor:"1,keyasint,omitempty"`
+// AgesReply is the answer.
+type AgesReply struct {
+	Staleness []fresh.Word `cbor:"1,keyasint,omitempty"`
 }
 
 // Ages answers a top's question.
-func (h *peerHandler) Ages(_ *AgesAsk, out *Ages) error {
-	out.Fresh = h.g.fresh.Words(h.g.now())
+func (h *peerHandler) Ages(_ *AgesRequest, out *AgesReply) error {
+	out.Staleness = h.g.staleness.Words(h.g.now())
 	return nil
 }
 
-// askAges keeps the ages at a top of the tree up to date.
-func (g *Gateway) askAges(ctx context.Context) {
-	for wait.For(ctx, agesEvery*3/4+rand.N(agesEvery/2)) {
+// pollStaleness keeps the ages at a top of the tree up to date.
+func (g *Gateway) pollStaleness(ctx context.Context) {
+	for wait.For(ctx, stalenessPollInterval*3/4+rand.N(stalenessPollInterval/2)) {
 		v := g.view.Load()
-		if v.Tree.small || !v.Tree.position().follows {
+		if v.Tree.small || !v.Tree.position().polls {
 			continue
 		}
-		for _, m := range v.agesFrom() {
-			g.start(func() { g.askAge(m.Address) })
+		for _, m := range v.stalenessSources() {
+			g.spawn(func() { g.fetchStaleness(m.Address) })
 		}
 	}
 }
 
-// agesFrom are the instances that a top asks: the watchers, and some other tops.
-func (v *View) agesFrom() []member.Member {
+// stalenessSources are the instances that a top asks: the watchers, and some other tops.
+func (v *View) stalenessSources() []member.Member {
 	watching := map[string]bool{}
 	for _, name := range v.Watchers {
 		watching[name] = true
@@ -184,59 +184,59 @@
 			out = append(out, m)
 		}
 	}
-	tops := v.Tree.topsElsewhere()
+	tops := v.Tree.otherTops()
 	rand.Shuffle(len(tops), func(i, j int) { tops[i], tops[j] = tops[j], tops[i] })
-	return append(out, tops[:min(len(tops), agesOfTops)]...)
+	return append(out, tops[:min(len(tops), stalenessPolledTops)]...)
 }
 
-// askAge asks one instance. A lost answer is replaced by the next; silence is the business
+// fetchStaleness asks one instance. A lost answer is replaced by the next; silence is the business
 // of probes.
-func (g *Gateway) askAge(address string) {
-	ctx, cancel := context.WithTimeout(g.ctx, agesTimeout)
+func (g *Gateway) fetchStaleness(address string) {
+	ctx, cancel := context.WithTimeout(g.ctx, stalenessPollTimeout)
 	defer cancel()
-	var out Ages
+	var out AgesReply
 	asked := g.now()
-	if g.pool.Call(ctx, address, peerService+".Ages", &AgesAsk{}, &out) == nil {
-		g.fresh.Take(out.Fresh, asked)
+	if g.pool.Call(ctx, address, peerService+".Ages", &AgesRequest{}, &out) == nil {
+		g.staleness.Take(out.Staleness, asked)
 	}
 }
 
-// peerAge is how long ago a peer answered last.
-func (g *Gateway) peerAge() time.Duration {
-	return g.now().Sub(g.began) - time.Duration(g.heardPeer.Load())
+// sincePeerContact is how long ago a peer answered last.
+func (g *Gateway) sincePeerContact() time.Duration {
+	return g.now().Sub(g.startedAt) - time.Duration(g.lastPeerContact.Load())
 }
 
-// isCutOff says whether this instance has company, and hears neither the object store nor
+// isIsolated says whether this instance has company, and hears neither the object store nor
 // anybody who might: what it holds may have been revoked, and others can serve its callers.
 // Where peers answer and none of them hears the store either, the store is most likely away
 // for all, and nothing is acknowledged meanwhile: it serves on.
-func (c *control) isCutOff(peerAge time.Duration) bool {
-	if c.fresh == nil || c.fleet.instances < 2 || peerAge < c.configWithin {
+func (c *controlState) isIsolated(peerAge time.Duration) bool {
+	if c.staleness == nil || c.fleet.instances < 2 || peerAge < c.configWithin {
 		return false
 	}
-	age, known := c.fresh.Age(fresh.Config, c.now())
+	age, known := c.staleness.Age(fresh.Config, c.now())
 	return known && age >= c.configWithin
 }
 
-// cutOff is the belief that this instance is cut off.
-type cutOff struct {
-	now   bool
-	ticks int // for which it has seemed so
+// isolation is the belief that this instance is cut off.
+type isolation struct {
+	active bool
+	ticks  int // for which it has seemed so
 }
 
 // update takes what seems so at a tick, and says whether the belief changed.
-func (x *cutOff) update(seems bool, l log.Interface) bool {
+func (x *isolation) update(seems bool, l log.Interface) bool {
 	x.ticks++
 	if !seems {
 		x.ticks = 0
 	}
-	was := x.now
-	x.now = x.ticks >= cutOffTicks
+	was := x.active
+	x.active = x.ticks >= isolationTicks
 	switch {
-	case x.now && !was:
+	case x.active && !was:
 		l.Warn("cut off from the object store and all peers: requests are refused")
-	case was && !x.now:
+	case was && !x.active:
 		l.Info("no longer cut off: requests are taken again")
 	}
-	return was != x.now
+	return was != x.active
 }
--- a/internal/gateway/staleness_test.go
+++ b/internal/gateway/staleness_test.go
@@ -16,9 +16,9 @@
 
 // status asks an instance for a path that no route takes.
 func (f *memoryFleet) status(i int) int {
-	conn := f.call(i)
+	conn := f.dialCaller(i)
 	defer conn.Close()
-	if _, err := io.WriteString(conn, pieceOf[0]+pieceOf[1]); err != nil {
+	if _, err := io.WriteString(conn, bodyPiece[0]+bodyPiece[1]); err != nil {
 		f.t.Fatal(err)
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -50,26 +50,26 @@
 				f := newMemoryFleet(t, n, 3)
 				defer f.stop()
 				host := fmt.Sprintf("e-%03d", alone)
-				for i, d := range f.doors {
-					d.shut(c.stores || i == alone)
+				for i, d := range f.storeClients {
+					d.setSilent(c.stores || i == alone)
 				}
 				f.net.setCut(host, c.peers)
 				time.Sleep(within / 2)
-				is.True(f.gates[alone].Ready()) // it may be over soon
+				is.True(f.gateways[alone].Ready()) // it may be over soon
 				time.Sleep(within)
-				is.Equal(f.gates[alone].Ready(), !c.refuses)
+				is.Equal(f.gateways[alone].Ready(), !c.refuses)
 				f.net.setCut(host, false) // its callers reach it, and its peers don't yet
 				want := http.StatusNotFound
 				if c.refuses {
 					want = http.StatusServiceUnavailable
 				}
 				is.Equal(f.status(alone), want)
-				for i := range f.gates {
-					is.True(i == alone || f.gates[i].Ready())
+				for i := range f.gateways {
+					is.True(i == alone || f.gateways[i].Ready())
 				}
-				f.doors[alone].shut(false)
+				f.storeClients[alone].setSilent(false)
 				time.Sleep(within)
-				is.True(f.gates[alone].Ready())
+				is.True(f.gateways[alone].Ready())
 				is.Equal(f.status(alone), http.StatusNotFound)
 			})
 		})
@@ -83,22 +83,22 @@
 		is := is.New(t)
 		f := newMemoryFleet(t, 60, 4)
 		defer f.stop()
-		before := make([]int, len(f.doors))
-		for i, d := range f.doors {
-			before[i] = d.asked()
+		before := make([]int, len(f.storeClients))
+		for i, d := range f.storeClients {
+			before[i] = d.countCall()
 		}
 		const calm = 20 * time.Second
 		for range calm / time.Second {
 			time.Sleep(time.Second)
-			for _, g := range f.gates {
-				age, known := g.fresh.Age(fresh.Config, g.now())
-				is.True(known && age < watcherWait+othersDoubt)
+			for _, g := range f.gateways {
+				age, known := g.staleness.Age(fresh.Config, g.now())
+				is.True(known && age < watcherTimeout+otherStaleMargin)
 			}
 		}
 		others := 0
-		for i, g := range f.gates {
-			if !g.view.Load().Watcher {
-				others += f.doors[i].asked() - before[i]
+		for i, g := range f.gateways {
+			if !g.view.Load().IsWatcher {
+				others += f.storeClients[i].countCall() - before[i]
 			}
 		}
 		// The holder of the lease and the keeper of the bootstrap object ask for these.
@@ -110,9 +110,9 @@
 func TestWatchedAt(t *testing.T) {
 	is := is.New(t)
 	at := func(ms int) time.Time { return at0.Add(time.Duration(ms) * time.Millisecond) }
-	is.Equal(watchedAt(at(0), at(805), 800*time.Millisecond, 0), at(800))
-	is.Equal(watchedAt(at(0), at(1300), 800*time.Millisecond, 0), at(800)) // it was under way for long
-	is.Equal(watchedAt(at(0), at(10), 800*time.Millisecond, 0), at(0))     // it did not wait
-	is.Equal(watchedAt(at(0), at(10), 800*time.Millisecond, 1), at(0))
-	is.Equal(watchedAt(at(0), at(700), 800*time.Millisecond, 1), at(400))
+	is.Equal(watchValidAt(at(0), at(805), 800*time.Millisecond, 0), at(800))
+	is.Equal(watchValidAt(at(0), at(1300), 800*time.Millisecond, 0), at(800)) // it was under way for long
+	is.Equal(watchValidAt(at(0), at(10), 800*time.Millisecond, 0), at(0))     // it did not wait
+	is.Equal(watchValidAt(at(0), at(10), 800*time.Millisecond, 1), at(0))
+	is.Equal(watchValidAt(at(0), at(700), 800*time.Millisecond, 1), at(400))
 }
--- a/internal/gateway/stalled_process_test.go
+++ b/internal/gateway/stalled_process_test.go
@@ -14,16 +14,16 @@
 func TestStoodStill(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	c := &control{log: &log.Logger{Handler: discard.Default}, now: func() time.Time { return now }}
-	is.True(!c.noteTick()) // the first one
+	c := &controlState{log: &log.Logger{Handler: discard.Default}, now: func() time.Time { return now }}
+	is.True(!c.detectPause()) // the first one
 	for range 100 {
 		now = now.Add(controlTick)
-		is.True(!c.noteTick())
+		is.True(!c.detectPause())
 	}
-	is.True(c.settledAt.IsZero())
-	now = now.Add(stoodStill + controlTick)
-	is.True(c.noteTick())
-	is.Equal(c.settledAt, now.Add(coldSettle))
+	is.True(c.warmupAllowedAt.IsZero())
+	now = now.Add(pauseThreshold + controlTick)
+	is.True(c.detectPause())
+	is.Equal(c.warmupAllowedAt, now.Add(warmupSettleTime))
 	now = now.Add(controlTick)
-	is.True(!c.noteTick())
+	is.True(!c.detectPause())
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -15,88 +15,90 @@
 
 // Bounds of a stream.
 const (
-	maxEvent = 1 << 20 // bytes of one event
-	// stallGaps times a route's longest pause between events, and leastStall at least, is
+	maxEventBytes = 1 << 20 // bytes of one event
+	// stallGapFactor times a route's longest pause between events, and minStallTimeout at least, is
 	// the silence after which a stream goes on elsewhere. Callers bear eight such pauses,
 	// and two seconds at least; the other target needs the rest to read the prompt.
-	stallGaps  = 4
-	leastStall = 1200 * time.Millisecond
+	stallGapFactor  = 4
+	minStallTimeout = 1200 * time.Millisecond
 )
 
-// stallTime is the longest silence between the events of a stream that can go on
+// stallTimeout is the longest silence between the events of a stream that can go on
 // elsewhere.
-func (x *exchange) stallTime() time.Duration { return max(stallGaps*x.route.GapLimit, leastStall) }
+func (x *exchange) stallTimeout() time.Duration {
+	return max(stallGapFactor*x.route.GapLimit, minStallTimeout)
+}
 
-// EventSizeError says that an event is longer than maxEvent.
+// EventSizeError says that an event is longer than maxEventBytes.
 type EventSizeError struct{}
 
 // Error implements error.
 func (*EventSizeError) Error() string { return "event is too long" }
 
-// stream passes on events as they come, each whole or not at all. A stream that
+// relayStream passes on events as they come, each whole or not at all. A stream that
 // breaks goes on at another target behind the last event passed on, if its route
 // lets it; what the caller has then stays one stream.
-func (x *exchange) stream(at *work) ending {
-	events := eventReader{r: bufio.NewReader(at.resp.Body)}
+func (x *exchange) relayStream(at *attemptState) attemptResult {
+	events := eventReader{r: bufio.NewReader(at.httpResponse.Body)}
 	flush := http.NewResponseController(x.w)
 	for first := true; ; first = false {
-		if at.watch != nil && !first {
-			at.watch.Reset(x.stallTime())
+		if at.silenceTimer != nil && !first {
+			at.silenceTimer.Reset(x.stallTimeout())
 		}
 		data, id, err := events.next()
-		if at.watch != nil {
-			at.watch.Stop() // a caller that reads slowly is no silence of the target
+		if at.silenceTimer != nil {
+			at.silenceTimer.Stop() // a caller that reads slowly is no silence of the target
 		}
 		if errors.Is(err, io.EOF) {
-			return x.streamEnd(at, first)
+			return x.endStream(at, first)
 		}
 		if err != nil {
-			return ending{event: attempt.BrokeLate, broken: true, cause: &BadAnswerError{Target: at.target.ID, Reason: "stream is not whole", Cause: err}}
+			return attemptResult{event: attempt.BrokeLate, connBroken: true, cause: &BadResponseError{Target: at.target.ID, Reason: "stream is not whole", Cause: err}}
 		}
 		if first {
-			x.observe(at)
+			x.recordFirstByte(at)
 		}
-		if !x.follows(id) {
-			return ending{event: attempt.BrokeLate, cause: &BadAnswerError{Target: at.target.ID, Reason: "event " + id + " after event " + x.lastEvent}}
+		if !x.isNextEvent(id) {
+			return attemptResult{event: attempt.BrokeLate, cause: &BadResponseError{Target: at.target.ID, Reason: "event " + id + " after event " + x.lastEventID}}
 		}
-		if !x.begun {
-			x.writeHeader(at.resp.StatusCode, at.resp.Header, -1)
+		if !x.headerSent {
+			x.writeHeader(at.httpResponse.StatusCode, at.httpResponse.Header, -1)
 		} else if first {
 			metric.Resumes.Inc()
 		}
 		if _, err := x.w.Write(data); err != nil {
-			return ending{event: attempt.CallerGone, cause: err}
+			return attemptResult{event: attempt.CallerGone, cause: err}
 		}
 		if err := flush.Flush(); err != nil {
-			return ending{event: attempt.CallerGone, cause: err}
+			return attemptResult{event: attempt.CallerGone, cause: err}
 		}
 		if id != "" {
-			x.lastEvent = id
+			x.lastEventID = id
 		}
 	}
 }
 
-// follows says whether an event may come behind the last one passed on: ids rise,
+// isNextEvent says whether an event may come behind the last one passed on: ids rise,
 // also where the stream went on at another target.
-func (x *exchange) follows(id string) bool {
+func (x *exchange) isNextEvent(id string) bool {
 	next, err := strconv.ParseUint(id, 10, 64)
 	if err != nil {
 		return true // an id that is no number tells no order
 	}
-	last, err := strconv.ParseUint(x.lastEvent, 10, 64)
+	last, err := strconv.ParseUint(x.lastEventID, 10, 64)
 	return err != nil || next > last
 }
 
-// streamEnd takes a stream's proper end. One without any event is an answer all
+// endStream takes a stream's proper end. One without any event is an answer all
 // the same.
-func (x *exchange) streamEnd(at *work, empty bool) ending {
+func (x *exchange) endStream(at *attemptState, empty bool) attemptResult {
 	if empty {
-		x.observe(at)
+		x.recordFirstByte(at)
 	}
-	if !x.begun {
-		x.writeHeader(at.resp.StatusCode, at.resp.Header, -1)
+	if !x.headerSent {
+		x.writeHeader(at.httpResponse.StatusCode, at.httpResponse.Header, -1)
 	}
-	return ending{delivered: true, status: at.resp.StatusCode}
+	return attemptResult{delivered: true, status: at.httpResponse.StatusCode}
 }
 
 // eventReader cuts a text/event-stream into whole events (HTML standard, section
@@ -118,7 +120,7 @@
 		for {
 			piece, err := e.r.ReadSlice('\n')
 			e.buf = append(e.buf, piece...)
-			if len(e.buf) > maxEvent {
+			if len(e.buf) > maxEventBytes {
 				return nil, "", &EventSizeError{}
 			}
 			if err == nil {
--- a/internal/gateway/stream_config_test.go
+++ b/internal/gateway/stream_config_test.go
@@ -13,11 +13,11 @@
 // configWithStreams declares what trafficCodec does, and a route of streams, with a timeout and
 // a number of attempts for what may be repeated.
 func configWithStreams(value []byte, timeout time.Duration, attempts int) (*catalog.Config, error) {
-	var d declared
+	var d storedConfig
 	if err := json.Unmarshal(value, &d); err != nil {
 		return nil, err
 	}
-	route := catalog.Route{Host: hostAll, Timeout: timeout, Objective: 500 * time.Millisecond, Backends: []catalog.Backend{{Service: "s", Weight: 1}}}
+	route := catalog.Route{Host: anyHost, Timeout: timeout, Objective: 500 * time.Millisecond, Backends: []catalog.Backend{{Service: "s", Weight: 1}}}
 	once, safe, stream := route, route, route
 	once.Name, once.PathPrefix, once.Kind, once.MaxAttempts = "once", pathOnce, catalog.Once, 1
 	safe.Name, safe.PathPrefix, safe.Kind, safe.MaxAttempts = "safe", pathSafe, catalog.Idempotent, attempts
--- a/internal/gateway/suspects_outbox.go
+++ b/internal/gateway/suspects_outbox.go
@@ -7,41 +7,41 @@
 	"github.com/shedhoist/shedhoist/internal/core/quarantine"
 )
 
-// outboxGap is how long words on crashes wait for others, on each step through the fleet: when
+// outboxDelay is how long words on crashes wait for others, on each step through the fleet: when
 // a zone's targets go, hundreds come within a moment, of which a neighbour gets one message.
-const outboxGap = 25 * time.Millisecond
+const outboxDelay = 25 * time.Millisecond
 
 // outbox holds words on crashes until they are told. The zero value is empty.
 type outbox struct {
-	mu    sync.Mutex
-	words map[string]map[quarantine.Key]quarantine.Word // by the neighbour they came from; "": this instance's own
+	mu      sync.Mutex
+	reports map[string]map[quarantine.Key]quarantine.Word // by the neighbour they came from; "": this instance's own
 }
 
 // add takes words to be told; a later word on a key replaces the one before.
 func (o *outbox) add(words []quarantine.Word, from string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.words == nil {
-		o.words = map[string]map[quarantine.Key]quarantine.Word{}
+	if o.reports == nil {
+		o.reports = map[string]map[quarantine.Key]quarantine.Word{}
 	}
-	if o.words[from] == nil {
-		o.words[from] = map[quarantine.Key]quarantine.Word{}
+	if o.reports[from] == nil {
+		o.reports[from] = map[quarantine.Key]quarantine.Word{}
 	}
 	for _, w := range words {
-		o.words[from][w.Key] = w
+		o.reports[from][w.Key] = w
 	}
 }
 
-// take empties the outbox, and returns what each neighbour is to be told.
-func (o *outbox) take(neighbours []neighbour) map[string][]quarantine.Word {
+// drain empties the outbox, and returns what each neighbour is to be told.
+func (o *outbox) drain(neighbours []neighbour) map[string][]quarantine.Word {
 	o.mu.Lock()
-	words := o.words
-	o.words = nil
+	words := o.reports
+	o.reports = nil
 	o.mu.Unlock()
 	out := map[string][]quarantine.Word{}
 	for _, n := range neighbours {
 		for from, byKey := range words {
-			if from != "" && !n.relayed[from] {
+			if from != "" && !n.relayedFrom[from] {
 				continue
 			}
 			for _, w := range byKey {
--- a/internal/gateway/suspects_outbox_test.go
+++ b/internal/gateway/suspects_outbox_test.go
@@ -18,24 +18,24 @@
 		return quarantine.Word{Key: quarantine.KeyOf(quarantine.Request{URI: name}), Crashes: make([]quarantine.Crash, crashes)}
 	}
 	near := []neighbour{
-		{Member: member.Member{Name: "child"}, relayed: map[string]bool{"parent": true}},
-		{Member: member.Member{Name: "parent"}, relayed: map[string]bool{"child": true}},
+		{Member: member.Member{Name: "child"}, relayedFrom: map[string]bool{"parent": true}},
+		{Member: member.Member{Name: "parent"}, relayedFrom: map[string]bool{"child": true}},
 	}
 	var o outbox
-	is.Equal(len(o.take(near)), 0)
+	is.Equal(len(o.drain(near)), 0)
 	o.add([]quarantine.Word{word("own", 1)}, "")
 	o.add([]quarantine.Word{word("x", 1)}, "child")
 	o.add([]quarantine.Word{word("x", 2)}, "child")
-	told := o.take(near)
+	told := o.drain(near)
 	is.Equal(told["child"], []quarantine.Word{word("own", 1)})
 	is.Equal(told["parent"], []quarantine.Word{word("x", 2), word("own", 1)})
-	is.Equal(len(o.take(near)), 0)
+	is.Equal(len(o.drain(near)), 0)
 
 	for i := range 1000 {
 		o.add([]quarantine.Word{word(fmt.Sprint(i), 1)}, "")
 	}
 	o.add([]quarantine.Word{word("worst", 3)}, "")
-	told = o.take(near)
+	told = o.drain(near)
 	is.Equal(len(told["child"]), quarantine.MostWords)
 	is.Equal(told["child"][0], word("worst", 3))
 }
