--- a/internal/gateway/traffic_test.go
+++ b/internal/gateway/traffic_test.go
@@ -35,16 +35,16 @@
 const (
 	pathOnce = "/once/"
 	pathSafe = "/safe/"
-	hostAll  = "a.example"
+	anyHost  = "a.example"
 )
 
-// Config implements Codec.
-func (trafficCodec) Config(value []byte) (*catalog.Config, error) {
-	var d declared
+// DecodeConfig implements Codec.
+func (trafficCodec) DecodeConfig(value []byte) (*catalog.Config, error) {
+	var d storedConfig
 	if err := json.Unmarshal(value, &d); err != nil {
 		return nil, err
 	}
-	route := catalog.Route{Host: hostAll, Timeout: 4 * time.Second, Objective: 500 * time.Millisecond, Backends: []catalog.Backend{{Service: "s", Weight: 1}}}
+	route := catalog.Route{Host: anyHost, Timeout: 4 * time.Second, Objective: 500 * time.Millisecond, Backends: []catalog.Backend{{Service: "s", Weight: 1}}}
 	once, safe := route, route
 	once.Name, once.PathPrefix, once.Kind, once.MaxAttempts = "once", pathOnce, catalog.Once, 1
 	safe.Name, safe.PathPrefix, safe.Kind, safe.MaxAttempts = "safe", pathSafe, catalog.Idempotent, 2
@@ -52,9 +52,9 @@
 		Customers: []catalog.CustomerKeys{{Customer: catalog.Customer{Name: "one"}, Keys: d.Keys}}}), nil
 }
 
-// ReadCall implements Codec.
-func (trafficCodec) ReadCall(h http.Header) (Call, error) {
-	return Call{ID: h.Get(trafficID), Key: h.Get(trafficKey)}, nil
+// ParseRequest implements Codec.
+func (trafficCodec) ParseRequest(h http.Header) (CallerRequest, error) {
+	return CallerRequest{ID: h.Get(trafficID), APIKey: h.Get(trafficKey)}, nil
 }
 
 // ForwardHeader implements Codec.
@@ -62,13 +62,13 @@
 	return http.Header{trafficID: in[trafficID], trafficCustomer: {a.Customer}}
 }
 
-// ReadAnswer implements Codec.
-func (trafficCodec) ReadAnswer(_ int, h http.Header) Answer {
-	return Answer{ID: h.Get(trafficID), Signed: true}
+// ParseResponse implements Codec.
+func (trafficCodec) ParseResponse(_ int, h http.Header) TargetResponse {
+	return TargetResponse{ID: h.Get(trafficID), Signed: true}
 }
 
-// AnswerHeader implements Codec.
-func (trafficCodec) AnswerHeader(in http.Header) http.Header { return in }
+// CallerResponseHeader implements Codec.
+func (trafficCodec) CallerResponseHeader(in http.Header) http.Header { return in }
 
 // trafficFleet is a fleet before targets of one service.
 type trafficFleet struct {
@@ -94,8 +94,8 @@
 	slowTime    = 2 * time.Second
 	runTime     = 60 * time.Millisecond
 	restartTime = 3 * time.Second
-	// outageOfAll is how long the instances are gone when all are killed.
-	outageOfAll = time.Second
+	// fleetOutage is how long the instances are gone when all are killed.
+	fleetOutage = time.Second
 )
 
 // newTrafficFleet starts n instances and some targets.
@@ -106,49 +106,49 @@
 // newFleetWith is newTrafficFleet with options.
 func newFleetWith(t *testing.T, n, zones, targets int, o fleetOptions) *trafficFleet {
 	f := &trafficFleet{memoryFleet: &memoryFleet{t: t, net: &memoryNetwork{listeners: map[string]*memoryListener{}}, store: newMemoryStore()}, zones: zones, options: o}
-	f.store.set(memoryConfigs, memoryConfig, declared{Version: 1, Keys: []string{"key"}})
+	f.store.set(memoryConfigs, memoryConfig, storedConfig{Version: 1, Keys: []string{"key"}})
 	for i := range targets {
 		mt := &memoryTarget{f: f, name: fmt.Sprintf("t-%02d", i), zone: fmt.Sprintf("z%d", i%zones)}
 		f.targets = append(f.targets, mt)
 		mt.start()
 	}
 	for range n {
-		f.join()
+		f.addInstance()
 	}
-	f.settle(n)
+	f.awaitReady(n)
 	return f
 }
 
-// join starts one more instance, under a new name.
-func (f *trafficFleet) join() int {
-	i := len(f.gates)
+// addInstance starts one more instance, under a new name.
+func (f *trafficFleet) addInstance() int {
+	i := len(f.gateways)
 	name := fmt.Sprintf("e-%03d", i)
 	set := (&Settings{Name: name, Zone: fmt.Sprintf("z%d", i%f.zones), CallerListen: name + ":1", ReadyListen: name + ":2", PeerListen: name + ":3",
 		Seeds: []string{"e-000:3", "e-001:3", "e-002:3"}, PlatformAddress: "store:1"}).WithDefaults()
 	if f.options.edit != nil {
 		f.options.edit(set)
 	}
-	f.gates, f.doors = append(f.gates, nil), append(f.doors, &storeDoor{s: f.store})
-	f.run(i, set)
+	f.gateways, f.storeClients = append(f.gateways, nil), append(f.storeClients, &storeClient{store: f.store})
+	f.startInstance(i, set)
 	return i
 }
 
-func (f *trafficFleet) run(i int, set *Settings) {
+func (f *trafficFleet) startInstance(i int, set *Settings) {
 	var codec Codec = trafficCodec{}
 	if f.options.codec != nil {
 		codec = f.options.codec
 	}
-	g, err := New(set, Ports{Codec: codec, Store: f.doors[i], Listen: f.net.listen, Dial: f.net.dialFrom(set.Name)}, &log.Logger{Handler: discard.Default})
+	g, err := New(set, Ports{Codec: codec, Store: f.storeClients[i], Listen: f.net.listen, Dial: f.net.dialFrom(set.Name)}, &log.Logger{Handler: discard.Default})
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	g.Start()
-	f.gates[i] = g
+	f.gateways[i] = g
 }
 
-// settle waits until all instances know of all.
-func (f *trafficFleet) settle(n int) {
-	for f.knowing() < n {
+// awaitReady waits until all instances know of all.
+func (f *trafficFleet) awaitReady(n int) {
+	for f.readyCount() < n {
 		time.Sleep(100 * time.Millisecond)
 	}
 	time.Sleep(2 * time.Second)
@@ -156,18 +156,18 @@
 
 // restartAll kills all instances at once and starts them again.
 func (f *trafficFleet) restartAll() {
-	for _, g := range f.gates {
-		f.unlisten(g.settings().CallerListen, g.settings().ReadyListen, g.settings().PeerListen)
+	for _, g := range f.gateways {
+		f.closeListeners(g.settings().CallerListen, g.settings().ReadyListen, g.settings().PeerListen)
 		g.Kill()
 	}
-	time.Sleep(outageOfAll)
-	for i, g := range f.gates {
-		f.run(i, g.settings())
+	time.Sleep(fleetOutage)
+	for i, g := range f.gateways {
+		f.startInstance(i, g.settings())
 	}
 }
 
-// unlisten has connections to addresses refused.
-func (f *trafficFleet) unlisten(addresses ...string) {
+// closeListeners has connections to addresses refused.
+func (f *trafficFleet) closeListeners(addresses ...string) {
 	f.net.mu.Lock()
 	defer f.net.mu.Unlock()
 	for _, a := range addresses {
@@ -175,26 +175,26 @@
 	}
 }
 
-// silence has the object store answer nobody, or all again.
-func (f *trafficFleet) silence(yes bool) {
-	for _, d := range f.doors {
-		d.shut(yes)
+// silenceStore has the object store answer nobody, or all again.
+func (f *trafficFleet) silenceStore(yes bool) {
+	for _, d := range f.storeClients {
+		d.setSilent(yes)
 	}
 }
 
-// cutOff cuts instances off from everything but callers, or lets them back.
-func (f *trafficFleet) cutOff(instances []int, yes bool) {
+// isolation cuts instances off from everything but callers, or lets them back.
+func (f *trafficFleet) isolate(instances []int, yes bool) {
 	for _, i := range instances {
-		f.net.setCut(f.gates[i].settings().Name, yes)
-		f.doors[i].shut(yes)
+		f.net.setCut(f.gateways[i].settings().Name, yes)
+		f.storeClients[i].setSilent(yes)
 	}
 }
 
-// crashOn has all targets crash on some bodies.
-func (f *trafficFleet) crashOn(deadly func(body string) bool) {
+// setCrashOn has all targets crash on some bodies.
+func (f *trafficFleet) setCrashOn(deadly func(body string) bool) {
 	for _, m := range f.targets {
 		m.mu.Lock()
-		m.deadly = deadly
+		m.crashesOn = deadly
 		m.mu.Unlock()
 	}
 }
@@ -204,20 +204,20 @@
 	f          *trafficFleet
 	name, zone string
 
-	mu     sync.Mutex
-	srv    *http.Server
-	born   int64 // Unix ms of its life's start
-	over   bool  // it does not start again
-	coldMS int64 // as its entry says at its next start
-	runs   int
-	resets bool                   // it ends connections instead of answering, and lives on
-	deadly func(body string) bool // bodies that crash it
+	mu          sync.Mutex
+	srv         *http.Server
+	startedAt   int64 // Unix ms of its life's start
+	stopped     bool  // it does not start again
+	warmupMS    int64 // as its entry says at its next start
+	runs        int
+	resetsConns bool                   // it ends connections instead of answering, and lives on
+	crashesOn   func(body string) bool // bodies that crash it
 }
 
 // start begins a life of the target, with an entry of its own.
 func (m *memoryTarget) start() {
 	m.mu.Lock()
-	over := m.over
+	over := m.stopped
 	m.mu.Unlock()
 	if over {
 		return
@@ -229,16 +229,16 @@
 	}
 	srv := &http.Server{Handler: m}
 	m.mu.Lock()
-	m.srv, m.born = srv, time.Now().UnixMilli()
-	coldMS := m.coldMS
+	m.srv, m.startedAt = srv, time.Now().UnixMilli()
+	coldMS := m.warmupMS
 	m.mu.Unlock()
 	go func() { _ = srv.Serve(ln) }() // it ends with the target
-	m.f.store.set(memoryTargets, m.name, catalog.Target{Service: "s", Address: address, Zone: m.zone, Start: m.born, ColdMS: coldMS})
+	m.f.store.set(memoryTargets, m.name, catalog.Target{Service: "s", Address: address, Zone: m.zone, Start: m.startedAt, ColdMS: coldMS})
 }
 
 // leave announces the target's end.
 func (m *memoryTarget) leave() {
-	m.f.store.set(memoryTargets, m.name, catalog.Target{Service: "s", Address: m.name + ":1", Zone: m.zone, Start: m.born, Leaving: true})
+	m.f.store.set(memoryTargets, m.name, catalog.Target{Service: "s", Address: m.name + ":1", Zone: m.zone, Start: m.startedAt, Leaving: true})
 }
 
 // crash ends the target, and has it start again some seconds later.
@@ -250,7 +250,7 @@
 	if srv == nil {
 		return // it is gone already
 	}
-	m.f.unlisten(m.name + ":1")
+	m.f.closeListeners(m.name + ":1")
 	srv.Close()
 	time.AfterFunc(restartTime, m.start)
 }
@@ -262,7 +262,7 @@
 	return m.runs > 0
 }
 
-func (m *memoryTarget) running(n int) {
+func (m *memoryTarget) addRuns(n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.runs += n
@@ -277,13 +277,13 @@
 	if err != nil {
 		return // its caller is gone
 	}
-	m.running(1)
-	defer m.running(-1)
+	m.addRuns(1)
+	defer m.addRuns(-1)
 	if time.Sleep(runTime); string(body) == slowBody {
 		time.Sleep(slowTime)
 	}
 	m.mu.Lock()
-	deadly, resets := m.deadly, m.resets
+	deadly, resets := m.crashesOn, m.resetsConns
 	m.mu.Unlock()
 	if resets {
 		panic(http.ErrAbortHandler)
@@ -300,9 +300,9 @@
 func (f *trafficFleet) stop() {
 	for _, m := range f.targets {
 		m.mu.Lock()
-		m.over = true
+		m.stopped = true
 		if m.srv != nil {
-			f.unlisten(m.name + ":1")
+			f.closeListeners(m.name + ":1")
 			m.srv.Close()
 		}
 		m.mu.Unlock()
@@ -310,45 +310,45 @@
 	f.memoryFleet.stop()
 }
 
-// trafficAnswer is what a caller got.
-type trafficAnswer struct {
+// trafficResponse is what a caller got.
+type trafficResponse struct {
 	status int    // 0: none
 	body   string // whole
 }
 
-// ask sends one request to an instance and returns its answer.
-func (f *trafficFleet) ask(i int, path, body string) trafficAnswer {
-	return f.askAt(f.gates[i].CallerAddr(), path, body)
+// request sends one request to an instance and returns its answer.
+func (f *trafficFleet) request(i int, path, body string) trafficResponse {
+	return f.requestAt(f.gateways[i].CallerAddr(), path, body)
 }
 
-// askAt is ask of the instance at an address.
-func (f *trafficFleet) askAt(address, path, body string) trafficAnswer {
+// requestAt is ask of the instance at an address.
+func (f *trafficFleet) requestAt(address, path, body string) trafficResponse {
 	ctx, cancel := context.WithTimeout(f.t.Context(), 5*time.Second)
 	defer cancel()
 	conn, err := f.net.dialFrom("caller")(ctx, "memory", address)
 	if err != nil {
-		return trafficAnswer{}
+		return trafficResponse{}
 	}
 	defer conn.Close()
 	f.net.mu.Lock()
 	f.seq++
 	id := fmt.Sprintf("r-%d", f.seq)
 	f.net.mu.Unlock()
-	return exchangeOn(conn, fmt.Sprintf("POST %sx HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: key\r\nContent-Length: %d\r\n\r\n%s", path, hostAll, trafficID, id, trafficKey, len(body), body))
+	return roundTrip(conn, fmt.Sprintf("POST %sx HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: key\r\nContent-Length: %d\r\n\r\n%s", path, anyHost, trafficID, id, trafficKey, len(body), body))
 }
 
-func exchangeOn(conn net.Conn, request string) trafficAnswer {
+func roundTrip(conn net.Conn, request string) trafficResponse {
 	if _, err := io.Copy(conn, strings.NewReader(request)); err != nil {
-		return trafficAnswer{}
+		return trafficResponse{}
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
-		return trafficAnswer{}
+		return trafficResponse{}
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return trafficAnswer{}
+		return trafficResponse{}
 	}
-	return trafficAnswer{status: resp.StatusCode, body: string(data)}
+	return trafficResponse{status: resp.StatusCode, body: string(data)}
 }
--- a/internal/gateway/unreachable_zones.go
+++ b/internal/gateway/unreachable_zones.go
@@ -20,50 +20,50 @@
 // instances, which look for themselves.
 
 const (
-	// slowConnect is the time after which a connect seems silent: a round trip between zones
+	// slowConnectThreshold is the time after which a connect seems silent: a round trip between zones
 	// and a target's work on a new connection take a few milliseconds.
-	slowConnect = 120 * time.Millisecond
-	// lookTime is how long a look waits for a connect.
-	lookTime = 150 * time.Millisecond
-	// lookedAt is how many targets of a zone a look connects to.
-	lookedAt = 3
-	// leastDark is how many targets a zone must have to be believed dark as a whole.
-	leastDark = 2
-	// darkPoll is the pause between two looks at a dark zone, by one connect each.
-	darkPoll = 250 * time.Millisecond
-	// darkTimeout bounds the message on a dark zone.
-	darkTimeout = 300 * time.Millisecond
+	slowConnectThreshold = 120 * time.Millisecond
+	// zoneProbeTimeout is how long a look waits for a connect.
+	zoneProbeTimeout = 150 * time.Millisecond
+	// zoneProbeTargets is how many targets of a zone a look connects to.
+	zoneProbeTargets = 3
+	// minZoneTargets is how many targets a zone must have to be believed dark as a whole.
+	minZoneTargets = 2
+	// zoneProbeInterval is the pause between two looks at a dark zone, by one connect each.
+	zoneProbeInterval = 250 * time.Millisecond
+	// zoneReportTimeout bounds the message on a dark zone.
+	zoneReportTimeout = 300 * time.Millisecond
 )
 
-// darkZones are what an instance believes of zones, and the attempts that end with them.
-type darkZones struct {
-	g     *Gateway
-	zones dark.Zones
-	mu    sync.Mutex
-	waits map[string]map[*work]func() // by zone: attempts without an answer, and what ends them
+// zoneMonitor are what an instance believes of zones, and the attempts that end with them.
+type zoneMonitor struct {
+	g       *Gateway
+	zones   dark.Zones
+	mu      sync.Mutex
+	waiting map[string]map[*attemptState]func() // by zone: attempts without an answer, and what ends them
 }
 
-// wait notes an attempt that waits for an answer from a zone. leave ends it, if it may be
+// trackAttempt notes an attempt that waits for an answer from a zone. leave ends it, if it may be
 // ended. The function returned forgets it.
-func (d *darkZones) wait(zone string, at *work, leave func()) (forget func()) {
+func (d *zoneMonitor) trackAttempt(zone string, at *attemptState, leave func()) (forget func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.waits[zone] == nil {
-		d.waits[zone] = map[*work]func(){}
+	if d.waiting[zone] == nil {
+		d.waiting[zone] = map[*attemptState]func(){}
 	}
-	d.waits[zone][at] = leave
+	d.waiting[zone][at] = leave
 	return func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		delete(d.waits[zone], at)
+		delete(d.waiting[zone], at)
 	}
 }
 
-// leaveAll ends the attempts that wait for a zone.
-func (d *darkZones) leaveAll(zone string) (left int) {
+// abandonAll ends the attempts that wait for a zone.
+func (d *zoneMonitor) abandonAll(zone string) (left int) {
 	d.mu.Lock()
 	var leave []func()
-	for _, f := range d.waits[zone] {
+	for _, f := range d.waiting[zone] {
 		leave = append(leave, f)
 	}
 	d.mu.Unlock()
@@ -73,26 +73,26 @@
 	return len(leave)
 }
 
-// silent takes that a connect to a target did not come about in a usual time.
-func (d *darkZones) silent(t *catalog.Target) {
+// connectSlow takes that a connect to a target did not come about in a usual time.
+func (d *zoneMonitor) connectSlow(t *catalog.Target) {
 	if d.zones.Ask(t.Zone, d.g.now()) {
-		d.g.start(func() { d.look(t.Zone, "") })
+		d.g.spawn(func() { d.probeZone(t.Zone, "") })
 	}
 }
 
-// look connects to some targets of a zone. from is who told of it, "" if this instance met the
+// probeZone connects to some targets of a zone. from is who told of it, "" if this instance met the
 // silence itself.
-func (d *darkZones) look(zone, from string) {
-	targets := d.g.view.Load().inZone(zone)
-	if len(targets) < leastDark {
+func (d *zoneMonitor) probeZone(zone, from string) {
+	targets := d.g.view.Load().targetsInZone(zone)
+	if len(targets) < minZoneTargets {
 		d.zones.Looked(zone, true)
 		return
 	}
 	rand.Shuffle(len(targets), func(i, j int) { targets[i], targets[j] = targets[j], targets[i] })
-	targets = targets[:min(lookedAt, len(targets))]
+	targets = targets[:min(zoneProbeTargets, len(targets))]
 	answers := make(chan bool, len(targets))
 	for _, t := range targets {
-		d.g.start(func() { answers <- d.answers(t) })
+		d.g.spawn(func() { answers <- d.probeTarget(t) })
 	}
 	some := false
 	for range targets {
@@ -102,20 +102,20 @@
 		return
 	}
 	metric.DarkZones.Inc()
-	left := d.leaveAll(zone)
+	left := d.abandonAll(zone)
 	d.g.log.WithField("zone", zone).WithField("looked_at", len(targets)).WithField("told_by", from).WithField("attempts_left", left).Warn("zone is silent")
 	if from == "" {
-		d.tell(zone, d.g.settings().Name, "")
+		d.reportZone(zone, d.g.settings().Name, "")
 	}
-	d.watch(zone)
+	d.awaitRecovery(zone)
 }
 
-// watch looks at a dark zone until something answers there.
-func (d *darkZones) watch(zone string) {
+// awaitRecovery looks at a dark zone until something answers there.
+func (d *zoneMonitor) awaitRecovery(zone string) {
 	began := d.g.now()
-	for wait.For(d.g.ctx, wait.Jitter(darkPoll)) {
-		targets := d.g.view.Load().inZone(zone)
-		if len(targets) >= leastDark && !d.answers(targets[rand.IntN(len(targets))]) {
+	for wait.For(d.g.ctx, wait.Jitter(zoneProbeInterval)) {
+		targets := d.g.view.Load().targetsInZone(zone)
+		if len(targets) >= minZoneTargets && !d.probeTarget(targets[rand.IntN(len(targets))]) {
 			continue
 		}
 		d.zones.Looked(zone, true)
@@ -124,9 +124,9 @@
 	}
 }
 
-// answers says whether a target's machine answers a connect, if only by refusing it.
-func (d *darkZones) answers(t *catalog.Target) bool {
-	ctx, cancel := context.WithTimeout(d.g.ctx, lookTime)
+// probeTarget says whether a target's machine answers a connect, if only by refusing it.
+func (d *zoneMonitor) probeTarget(t *catalog.Target) bool {
+	ctx, cancel := context.WithTimeout(d.g.ctx, zoneProbeTimeout)
 	defer cancel()
 	conn, err := d.g.upstream.dial(ctx, "tcp", t.Address)
 	if err == nil {
@@ -136,42 +136,42 @@
 	return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// SilentZone tells that a zone's targets do not answer an instance.
-type SilentZone struct {
-	Zone string `cbor:"1,keyasint"`
-	From string `cbor:"2,keyasint"` // who found it
-	By   string `cbor:"3,keyasint"` // who passes it on
+// UnreachableZone tells that a zone's targets do not answer an instance.
+type UnreachableZone struct {
+	Zone      string `cbor:"1,keyasint"`
+	FoundBy   string `cbor:"2,keyasint"` // who found it
+	RelayedBy string `cbor:"3,keyasint"` // who passes it on
 }
 
-// SilentZone takes a peer's word, and passes it on once.
-func (h *peerHandler) SilentZone(req *SilentZone, _ *Heard) error {
-	d := &h.g.dark
+// UnreachableZone takes a peer's word, and passes it on once.
+func (h *peerHandler) SilentZone(req *UnreachableZone, _ *Ack) error {
+	d := &h.g.zones
 	if !d.zones.Ask(req.Zone, h.g.now()) {
 		return nil // it is dark here too, or has just been looked at
 	}
-	h.g.start(func() { d.look(req.Zone, req.From) })
-	d.tell(req.Zone, req.From, req.By)
+	h.g.spawn(func() { d.probeZone(req.Zone, req.FoundBy) })
+	d.reportZone(req.Zone, req.FoundBy, req.RelayedBy)
 	return nil
 }
 
-// tell tells the neighbours, but the one who told it. A word that is lost is made good by the
+// reportZone tells the neighbours, but the one who told it. A word that is lost is made good by the
 // next instance that meets the silence.
-func (d *darkZones) tell(zone, from, but string) {
-	word := &SilentZone{Zone: zone, From: from, By: d.g.settings().Name}
+func (d *zoneMonitor) reportZone(zone, from, but string) {
+	word := &UnreachableZone{Zone: zone, FoundBy: from, RelayedBy: d.g.settings().Name}
 	for _, n := range d.g.view.Load().Tree.neighbours() {
 		if n.Name == but {
 			continue
 		}
-		d.g.start(func() {
-			ctx, cancel := context.WithTimeout(d.g.ctx, darkTimeout)
+		d.g.spawn(func() {
+			ctx, cancel := context.WithTimeout(d.g.ctx, zoneReportTimeout)
 			defer cancel()
-			_ = d.g.pool.Call(ctx, n.Address, peerService+".SilentZone", word, &Heard{})
+			_ = d.g.pool.Call(ctx, n.Address, peerService+".SilentZone", word, &Ack{})
 		})
 	}
 }
 
-// inZone are the targets of a zone that are not leaving.
-func (v *View) inZone(zone string) []*catalog.Target {
+// targetsInZone are the targets of a zone that are not leaving.
+func (v *View) targetsInZone(zone string) []*catalog.Target {
 	var out []*catalog.Target
 	for _, t := range v.Targets {
 		if t.Zone == zone && !t.Leaves() {
@@ -181,10 +181,10 @@
 	return out
 }
 
-// darkNow are the zones that requests to some targets leave out. Where all that have targets
+// unreachableZones are the zones that requests to some targets leave out. Where all that have targets
 // seem dark it is most likely this instance's own link, and none is left out.
-func (g *Gateway) darkNow(targets []*catalog.Target) map[string]bool {
-	out := g.dark.zones.Dark()
+func (g *Gateway) unreachableZones(targets []*catalog.Target) map[string]bool {
+	out := g.zones.zones.Dark()
 	if len(out) == 0 {
 		return nil
 	}
--- a/internal/gateway/unreachable_zones_test.go
+++ b/internal/gateway/unreachable_zones_test.go
@@ -11,24 +11,24 @@
 
 // Aims once a zone is lost.
 const (
-	darkAim     = time.Second            // after that nothing fails that had not begun
-	darkSlowest = 400 * time.Millisecond // that an answer may take after that: a connect that fails is not waited for
+	unreachableAim      = time.Second            // after that nothing fails that had not begun
+	maxUnreachableDelay = 400 * time.Millisecond // that an answer may take after that: a connect that fails is not waited for
 )
 
 // asked is one request of a caller.
-type askedOne struct {
-	began  time.Time
-	took   time.Duration
-	status int
+type timedRequest struct {
+	began    time.Time
+	duration time.Duration
+	status   int
 }
 
 // record sends requests to all instances but those of a zone, in turn, for a while.
-func (f *evacuatedFleet) record(path, but string, every, during time.Duration) []askedOne {
+func (f *evacuatedFleet) record(path, but string, every, during time.Duration) []timedRequest {
 	var mu sync.Mutex
 	var all sync.WaitGroup
-	var out []askedOne
+	var out []timedRequest
 	var to []int
-	for i, g := range f.gates {
+	for i, g := range f.gateways {
 		if g.settings().Zone != but {
 			to = append(to, i)
 		}
@@ -37,9 +37,9 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			one := askedOne{began: time.Now()}
-			one.status = f.ask(to[i%len(to)], path, fmt.Sprint("request ", i)).status
-			one.took = time.Since(one.began)
+			one := timedRequest{began: time.Now()}
+			one.status = f.request(to[i%len(to)], path, fmt.Sprint("request ", i)).status
+			one.duration = time.Since(one.began)
 			mu.Lock()
 			defer mu.Unlock()
 			out = append(out, one)
@@ -50,16 +50,16 @@
 	return out
 }
 
-// darken cuts everything in a zone off, or lets it back.
-func (f *evacuatedFleet) darken(zone string, yes bool) {
+// cutZone cuts everything in a zone off, or lets it back.
+func (f *evacuatedFleet) cutZone(zone string, yes bool) {
 	for _, m := range f.targets {
 		if m.zone == zone {
 			f.net.setCut(m.name, yes)
 		}
 	}
-	for i, g := range f.gates {
+	for i, g := range f.gateways {
 		if g.settings().Zone == zone {
-			f.cutOff([]int{i}, yes)
+			f.isolate([]int{i}, yes)
 		}
 	}
 }
@@ -74,28 +74,28 @@
 				synctest.Test(t, func(t *testing.T) {
 					f := newEvacuatedFleet(t, n)
 					defer f.end()
-					f.record(path, zone, askEvery, 2*time.Second)
-					f.darken(zone, true)
+					f.record(path, zone, requestInterval, 2*time.Second)
+					f.cutZone(zone, true)
 					lost := time.Now()
 					failed, slow := 0, 0
-					for _, one := range f.record(path, zone, askEvery, 6*time.Second) {
-						if one.began.Sub(lost) < darkAim {
+					for _, one := range f.record(path, zone, requestInterval, 6*time.Second) {
+						if one.began.Sub(lost) < unreachableAim {
 							continue
 						}
 						if one.status != http.StatusOK {
 							failed++
 						}
-						if one.took > darkSlowest {
+						if one.duration > maxUnreachableDelay {
 							slow++
 						}
 					}
 					if failed > 0 || slow > 0 {
-						t.Errorf("of the requests that came a second after the loss, or later, %d failed and %d took more than %v", failed, slow, darkSlowest)
+						t.Errorf("of the requests that came a second after the loss, or later, %d failed and %d took more than %v", failed, slow, maxUnreachableDelay)
 					}
-					f.darken(zone, false)
+					f.cutZone(zone, false)
 					time.Sleep(3 * time.Second)
 					_, before := f.arrivals.in(zone)
-					f.record(path, zone, askEvery, 2*time.Second)
+					f.record(path, zone, requestInterval, 2*time.Second)
 					if _, after := f.arrivals.in(zone); after == before {
 						t.Error("the zone is not used again")
 					}
@@ -113,7 +113,7 @@
 		dark := f.targets[1]
 		f.net.setCut(dark.name, true)
 		_, before := f.arrivals.in(dark.zone)
-		f.record(pathSafe, "", askEvery, 5*time.Second)
+		f.record(pathSafe, "", requestInterval, 5*time.Second)
 		if _, after := f.arrivals.in(dark.zone); after-before < 200 {
 			t.Errorf("%d requests reached its zone", after-before)
 		}
--- a/internal/gateway/updates.go
+++ b/internal/gateway/updates.go
@@ -12,14 +12,14 @@
 	"github.com/shedhoist/shedhoist/internal/wait"
 )
 
-// Have says how new an instance's beliefs are. Of a list it tells the revision
+// StateVersions says how new an instance's beliefs are. Of a list it tells the revision
 // of its last change: whoever knows all up to that revision has missed nothing.
-type Have struct {
-	Config   uint64           `cbor:"1,keyasint"` // version
-	Targets  platform.Version `cbor:"2,keyasint"` // last change of the targets
-	Versions platform.Version `cbor:"3,keyasint"` // last change of the named versions
-	Rollout  RolloutStamp     `cbor:"4,keyasint"`
-	Newest   ConfigWord       `cbor:"5,keyasint"` // the newest configuration heard of, in force at the teller or not
+type StateVersions struct {
+	Config        uint64           `cbor:"1,keyasint"` // version
+	Targets       platform.Version `cbor:"2,keyasint"` // last change of the targets
+	NamedVersions platform.Version `cbor:"3,keyasint"` // last change of the named versions
+	Rollout       RolloutStamp     `cbor:"4,keyasint"`
+	NewestConfig  ConfigRef        `cbor:"5,keyasint"` // the newest configuration heard of, in force at the teller or not
 	// Evacuations is the last change of the evacuated zones.
 	Evacuations platform.Version `cbor:"6,keyasint,omitempty"`
 }
@@ -30,198 +30,198 @@
 	Seq   uint64 `cbor:"2,keyasint"`
 }
 
-// after says whether s is newer than o.
-func (s RolloutStamp) after(o RolloutStamp) bool {
+// newerThan says whether s is newer than o.
+func (s RolloutStamp) newerThan(o RolloutStamp) bool {
 	return s.Token > o.Token || (s.Token == o.Token && s.Seq > o.Seq)
 }
 
-// RolloutNews is what the instance that gives orders is doing.
-type RolloutNews struct {
-	Holder  string       `cbor:"4,keyasint"` // the instance
-	Stamp   RolloutStamp `cbor:"1,keyasint"`
-	Closing []string     `cbor:"2,keyasint,omitempty"` // ids of targets that shall get no new requests
-	Arrived []Arrival    `cbor:"3,keyasint,omitempty"` // targets with new weights
+// RolloutUpdate is what the instance that gives orders is doing.
+type RolloutUpdate struct {
+	Holder   string         `cbor:"4,keyasint"` // the instance
+	Stamp    RolloutStamp   `cbor:"1,keyasint"`
+	Cordoned []string       `cbor:"2,keyasint,omitempty"` // ids of targets that shall get no new requests
+	Loaded   []LoadedTarget `cbor:"3,keyasint,omitempty"` // targets with new weights
 }
 
-// Arrival is a target that was seen to serve new weights.
-type Arrival struct {
+// LoadedTarget is a target that was seen to serve new weights.
+type LoadedTarget struct {
 	Target string               `cbor:"1,keyasint"`
 	Serves catalog.ModelVersion `cbor:"2,keyasint"`
 }
 
-// Hello probes a peer and carries news of members both ways.
-type Hello struct {
-	From    member.Member   `cbor:"1,keyasint"`
-	Updates []member.Member `cbor:"2,keyasint"`
-	Have    Have            `cbor:"3,keyasint"`
-	Join    bool            `cbor:"4,keyasint,omitempty"` // answer with all members
-	Need    bool            `cbor:"5,keyasint,omitempty"` // answer with what is newer than Have
-	Known   Known           `cbor:"6,keyasint"`
-	Alone   bool            `cbor:"7,keyasint,omitempty"` // the object store does not answer the sender
-	Members int             `cbor:"8,keyasint,omitempty"` // live members that the sender knows
-	Leaving Leavers         `cbor:"9,keyasint,omitempty"`
+// HelloRequest probes a peer and carries news of members both ways.
+type HelloRequest struct {
+	From             member.Member   `cbor:"1,keyasint"`
+	Members          []member.Member `cbor:"2,keyasint"`
+	StateVersions    StateVersions   `cbor:"3,keyasint"`
+	Join             bool            `cbor:"4,keyasint,omitempty"` // answer with all members
+	WantUpdate       bool            `cbor:"5,keyasint,omitempty"` // answer with what is newer than Have
+	KnownVersions    KnownVersions   `cbor:"6,keyasint"`
+	StoreUnreachable bool            `cbor:"7,keyasint,omitempty"` // the object store does not answer the sender
+	LiveMembers      int             `cbor:"8,keyasint,omitempty"` // live members that the sender knows
+	Leaving          LeavingTargets  `cbor:"9,keyasint,omitempty"`
 }
 
-// Known is up to where an instance's beliefs are complete.
-type Known struct {
-	Config   uint64           `cbor:"1,keyasint"`
-	Targets  platform.Version `cbor:"2,keyasint"`
-	Versions platform.Version `cbor:"3,keyasint"`
-	Rollout  RolloutStamp     `cbor:"4,keyasint"`
+// KnownVersions is up to where an instance's beliefs are complete.
+type KnownVersions struct {
+	Config        uint64           `cbor:"1,keyasint"`
+	Targets       platform.Version `cbor:"2,keyasint"`
+	NamedVersions platform.Version `cbor:"3,keyasint"`
+	Rollout       RolloutStamp     `cbor:"4,keyasint"`
 	// Evacuations is up to where the evacuated zones are.
 	Evacuations platform.Version `cbor:"5,keyasint,omitempty"`
 }
 
-// Welcome is the answer to a Hello.
-type Welcome struct {
-	From    member.Member   `cbor:"1,keyasint"`
-	Updates []member.Member `cbor:"2,keyasint"`
-	Have    Have            `cbor:"3,keyasint"`
-	News    *News           `cbor:"4,keyasint,omitempty"`
-	Ages    []NamedAge      `cbor:"5,keyasint,omitempty"` // to one that joins
-	Members int             `cbor:"6,keyasint,omitempty"` // live members that the sender knows
-	Fresh   []fresh.Word    `cbor:"7,keyasint,omitempty"`
-	// Suspects is the sender's quarantine.Book.Digest.
-	Suspects uint64  `cbor:"8,keyasint,omitempty"`
-	Leaving  Leavers `cbor:"9,keyasint,omitempty"`
+// HelloReply is the answer to a Hello.
+type HelloReply struct {
+	From          member.Member   `cbor:"1,keyasint"`
+	Members       []member.Member `cbor:"2,keyasint"`
+	StateVersions StateVersions   `cbor:"3,keyasint"`
+	Update        *StateUpdate    `cbor:"4,keyasint,omitempty"`
+	VersionAges   []VersionAge    `cbor:"5,keyasint,omitempty"` // to one that joins
+	LiveMembers   int             `cbor:"6,keyasint,omitempty"` // live members that the sender knows
+	Staleness     []fresh.Word    `cbor:"7,keyasint,omitempty"`
+	// SuspectsDigest is the sender's quarantine.Book.Digest.
+	SuspectsDigest uint64         `cbor:"8,keyasint,omitempty"`
+	Leaving        LeavingTargets `cbor:"9,keyasint,omitempty"`
 }
 
-// NamedAge is how long ago a weight version was named, by the teller's own clock.
-type NamedAge struct {
+// VersionAge is how long ago a weight version was named, by the teller's own clock.
+type VersionAge struct {
 	Model   string `cbor:"1,keyasint"`
 	Version uint64 `cbor:"2,keyasint"`
-	MS      int64  `cbor:"3,keyasint"`
+	AgeMS   int64  `cbor:"3,keyasint"`
 }
 
-// News is what a peer believes, as far as it is newer than what the asker has.
-type News struct {
-	Config   []byte                 `cbor:"1,keyasint,omitempty"` // as stored
-	Listed   bool                   `cbor:"2,keyasint,omitempty"` // Targets are all there are, else those that changed
-	Targets  []catalog.Target       `cbor:"3,keyasint,omitempty"`
-	Revision platform.Version       `cbor:"4,keyasint,omitempty"` // of Targets
-	Versions []catalog.ModelVersion `cbor:"5,keyasint,omitempty"`
-	NamedAt  platform.Version       `cbor:"6,keyasint,omitempty"` // up to which Versions are complete
-	NamedIn  platform.Version       `cbor:"7,keyasint,omitempty"` // of their last change
-	Rollout  *RolloutNews           `cbor:"8,keyasint,omitempty"`
-	Gone     []string               `cbor:"9,keyasint,omitempty"` // names of targets that are no more; with Listed, of those among Targets that may return
-	// AskStore says that the teller does not know all that vanished since the asker's
+// Update is what a peer believes, as far as it is newer than what the asker has.
+type StateUpdate struct {
+	Config          []byte                 `cbor:"1,keyasint,omitempty"` // as stored
+	AllTargets      bool                   `cbor:"2,keyasint,omitempty"` // Targets are all there are, else those that changed
+	Targets         []catalog.Target       `cbor:"3,keyasint,omitempty"`
+	TargetsRevision platform.Version       `cbor:"4,keyasint,omitempty"` // of Targets
+	NamedVersions   []catalog.ModelVersion `cbor:"5,keyasint,omitempty"`
+	NamedRevision   platform.Version       `cbor:"6,keyasint,omitempty"` // up to which Versions are complete
+	NamedChanged    platform.Version       `cbor:"7,keyasint,omitempty"` // of their last change
+	Rollout         *RolloutUpdate         `cbor:"8,keyasint,omitempty"`
+	GoneTargets     []string               `cbor:"9,keyasint,omitempty"` // names of targets that are no more; with Listed, of those among Targets that may return
+	// ReadStore says that the teller does not know all that vanished since the asker's
 	// list, which is long: the asker shall take the changes from the object store.
-	AskStore bool `cbor:"10,keyasint,omitempty"`
-	// Evacuated are the evacuated zones, all of them, as of EvacuatedAt; their last change
-	// was at EvacuatedIn. 0: they are not told.
-	Evacuated   []string         `cbor:"11,keyasint,omitempty"`
-	EvacuatedAt platform.Version `cbor:"12,keyasint,omitempty"`
-	EvacuatedIn platform.Version `cbor:"13,keyasint,omitempty"`
+	ReadStore bool `cbor:"10,keyasint,omitempty"`
+	// EvacuatedZones are the evacuated zones, all of them, as of EvacuationsRevision; their last change
+	// was at EvacuationsChanged. 0: they are not told.
+	EvacuatedZones      []string         `cbor:"11,keyasint,omitempty"`
+	EvacuationsRevision platform.Version `cbor:"12,keyasint,omitempty"`
+	EvacuationsChanged  platform.Version `cbor:"13,keyasint,omitempty"`
 }
 
-// have says how new the beliefs are.
-func (c *control) have() Have {
-	return Have{Config: c.configInForce().Version, Targets: c.targets.Changed(), Versions: c.namedIn, Rollout: c.rollout.Stamp, Newest: c.newestConfig(), Evacuations: c.evacuated.Changed()}
+// versions says how new the beliefs are.
+func (c *controlState) stateVersions() StateVersions {
+	return StateVersions{Config: c.configInForce().Version, Targets: c.targets.Changed(), NamedVersions: c.namedChanged, Rollout: c.rollout.Stamp, NewestConfig: c.newestConfig(), Evacuations: c.evacuated.Changed()}
 }
 
-// known says up to where they are complete.
-func (c *control) known() Known {
-	return Known{Config: c.configInForce().Version, Targets: c.targets.Revision(), Versions: c.namedAt, Rollout: c.rollout.Stamp, Evacuations: c.evacuated.At()}
+// knownVersions says up to where they are complete.
+func (c *controlState) knownVersions() KnownVersions {
+	return KnownVersions{Config: c.configInForce().Version, Targets: c.targets.Revision(), NamedVersions: c.namedRevision, Rollout: c.rollout.Stamp, Evacuations: c.evacuated.At()}
 }
 
-// lacks says whether a peer has news that are missing here. A long configuration is none.
-func (k Known) lacks(h Have) bool {
-	return h.Config > k.Config && !h.Newest.long() || h.Targets > k.Targets || h.Versions > k.Versions || h.Rollout.after(k.Rollout) || h.Evacuations > k.Evacuations
+// isBehind says whether a peer has news that are missing here. A long configuration is none.
+func (k KnownVersions) isBehind(h StateVersions) bool {
+	return h.Config > k.Config && !h.NewestConfig.isLarge() || h.Targets > k.Targets || h.NamedVersions > k.NamedVersions || h.Rollout.newerThan(k.Rollout) || h.Evacuations > k.Evacuations
 }
 
-// longList is the longest list of targets that a peer hands over whole to one that can ask
-// the object store as well: 35 kB, which treeFan instances that ask at once get within
+// maxRelayedTargets is the longest list of targets that a peer hands over whole to one that can ask
+// the object store as well: 35 kB, which treeFanout instances that ask at once get within
 // 0.35 s over 10 Mbit/s. After an outage of the store, and after lost history, all ask.
-const longList = 400
+const maxRelayedTargets = 400
 
-// newsFor collects what is newer here; nil if nothing is. alone says that the asker
+// updateFor collects what is newer here; nil if nothing is. alone says that the asker
 // can't ask the object store.
-func (c *control) newsFor(k Known, alone bool) *News {
-	mine := c.have()
-	if !k.lacks(mine) {
+func (c *controlState) updateFor(k KnownVersions, alone bool) *StateUpdate {
+	mine := c.stateVersions()
+	if !k.isBehind(mine) {
 		return nil
 	}
-	n := &News{}
-	if mine.Config > k.Config && !c.configInForce().long() {
-		n.Config = c.raw
+	n := &StateUpdate{}
+	if mine.Config > k.Config && !c.configInForce().isLarge() {
+		n.Config = c.rawConfig
 	}
 	if c.targets.Listed() && mine.Targets > k.Targets {
-		n.Revision = c.targets.Revision()
-		n.Targets, n.Gone, n.Listed = c.targets.Since(k.Targets)
-		if n.Listed && !alone && len(n.Targets) > longList {
-			*n = News{Config: n.Config, AskStore: true}
+		n.TargetsRevision = c.targets.Revision()
+		n.Targets, n.GoneTargets, n.AllTargets = c.targets.Since(k.Targets)
+		if n.AllTargets && !alone && len(n.Targets) > maxRelayedTargets {
+			*n = StateUpdate{Config: n.Config, ReadStore: true}
 		}
 	}
-	if mine.Versions > k.Versions {
+	if mine.NamedVersions > k.NamedVersions {
 		for m, v := range c.named {
-			n.Versions = append(n.Versions, catalog.ModelVersion{Model: m, Version: v.Version})
+			n.NamedVersions = append(n.NamedVersions, catalog.ModelVersion{Model: m, Version: v.Newest})
 		}
-		n.NamedAt, n.NamedIn = c.namedAt, mine.Versions
+		n.NamedRevision, n.NamedChanged = c.namedRevision, mine.NamedVersions
 	}
 	if mine.Evacuations > k.Evacuations {
-		n.Evacuated, n.EvacuatedAt, n.EvacuatedIn = c.evacuated.Names(), max(c.evacuated.At(), mine.Evacuations), mine.Evacuations
+		n.EvacuatedZones, n.EvacuationsRevision, n.EvacuationsChanged = c.evacuated.Names(), max(c.evacuated.At(), mine.Evacuations), mine.Evacuations
 	}
-	if mine.Rollout.after(k.Rollout) {
+	if mine.Rollout.newerThan(k.Rollout) {
 		news := c.rollout
 		n.Rollout = &news
 	}
 	return n
 }
 
-// takeNews takes a peer's beliefs as far as they are newer.
-func (g *Gateway) takeNews(n *News) {
+// applyDelayed takes a peer's beliefs as far as they are newer.
+func (g *Gateway) applyUpdate(n *StateUpdate) {
 	if n.Config != nil {
-		g.readConfig(n.Config, fromPeer)
+		g.applyConfig(n.Config, fromPeer)
 	}
-	if n.AskStore {
-		g.storeDue.Raise()
+	if n.ReadStore {
+		g.targetsDue.Raise()
 	}
 	for i := range n.Targets {
 		n.Targets[i] = n.Targets[i].Identify()
 	}
 	switch {
-	case n.Listed:
-		g.send(targetsListed{revision: n.Revision, targets: n.Targets, vanished: n.Gone, from: fromPeer})
-	case n.Revision > 0:
-		g.send(targetsChanged{revision: n.Revision, present: n.Targets, gone: n.Gone})
+	case n.AllTargets:
+		g.sendEvent(targetsListed{revision: n.TargetsRevision, targets: n.Targets, vanished: n.GoneTargets, from: fromPeer})
+	case n.TargetsRevision > 0:
+		g.sendEvent(targetsChanged{revision: n.TargetsRevision, present: n.Targets, gone: n.GoneTargets})
 	}
-	if n.NamedAt > 0 {
-		g.send(versionsNamed{revision: n.NamedAt, changed: n.NamedIn, versions: n.Versions, from: fromPeer})
+	if n.NamedRevision > 0 {
+		g.sendEvent(versionsNamed{revision: n.NamedRevision, changed: n.NamedChanged, versions: n.NamedVersions, from: fromPeer})
 	}
-	if n.EvacuatedAt > 0 {
-		g.send(zonesListed{at: n.EvacuatedAt, changed: n.EvacuatedIn, zones: n.Evacuated, from: fromPeer})
+	if n.EvacuationsRevision > 0 {
+		g.sendEvent(evacuationsListed{revision: n.EvacuationsRevision, changed: n.EvacuationsChanged, zones: n.EvacuatedZones, from: fromPeer})
 	}
 	if n.Rollout != nil {
-		g.send(rolloutHeard{news: *n.Rollout})
+		g.sendEvent(rolloutReceived{update: *n.Rollout})
 	}
 }
 
 // catchUp takes a peer's news, unless the store tells them within the moment
 // that this usually takes. One call at a time is enough; what is heard of meanwhile
 // is looked after behind it.
-func (g *Gateway) catchUp(from member.Member, have Have) {
-	g.newer.Store(&newerPeer{from: from, have: have})
-	for g.newer.Load() != nil && g.catching.CompareAndSwap(false, true) {
-		for p := g.newer.Swap(nil); p != nil; p = g.newer.Swap(nil) {
+func (g *Gateway) catchUp(from member.Member, have StateVersions) {
+	g.aheadPeer.Store(&aheadPeer{member: from, versions: have})
+	for g.aheadPeer.Load() != nil && g.catchingUp.CompareAndSwap(false, true) {
+		for p := g.aheadPeer.Swap(nil); p != nil; p = g.aheadPeer.Swap(nil) {
 			wait.For(g.ctx, catchUpDelay)
 			g.catchUpOnce(*p)
 		}
-		g.catching.Store(false)
+		g.catchingUp.Store(false)
 	}
 }
 
-// newerPeer is a peer that knows more than this instance.
-type newerPeer struct {
-	from member.Member
-	have Have
+// aheadPeer is a peer that knows more than this instance.
+type aheadPeer struct {
+	member   member.Member
+	versions StateVersions
 }
 
 // catchUpOnce takes the news of one peer, unless they came from elsewhere meanwhile.
-func (g *Gateway) catchUpOnce(p newerPeer) {
-	var hello *Hello
-	g.query(func(c *control) {
-		if c.known().lacks(p.have) {
-			hello = c.greetingTo(p.from.Name, true)
+func (g *Gateway) catchUpOnce(p aheadPeer) {
+	var hello *HelloRequest
+	g.queryControl(func(c *controlState) {
+		if c.knownVersions().isBehind(p.versions) {
+			hello = c.newHelloTo(p.member.Name, true)
 		}
 	})
 	if hello == nil {
@@ -229,83 +229,83 @@
 	}
 	ctx, cancel := context.WithTimeout(g.ctx, peerTimeout)
 	defer cancel()
-	var reply Welcome
+	var reply HelloReply
 	asked := g.now()
-	err := g.pool.Call(ctx, p.from.Address, peerService+".Hello", hello, &reply)
-	entry := g.log.WithField("peer", p.from.Name).WithField("took_ms", g.now().Sub(asked).Milliseconds())
+	err := g.pool.Call(ctx, p.member.Address, peerService+".Hello", hello, &reply)
+	entry := g.log.WithField("peer", p.member.Name).WithField("took_ms", g.now().Sub(asked).Milliseconds())
 	if err != nil {
 		metric.NewsFailed.Inc()
-		entry.WithError(err).WithField("config", hello.Have.Config).WithField("peer_config", p.have.Config).Warn("news not had")
+		entry.WithError(err).WithField("config", hello.StateVersions.Config).WithField("peer_config", p.versions.Config).Warn("news not had")
 		return
 	}
-	g.send(leaversTold{lives: reply.Leaving, from: reply.From})
-	if n := reply.News; n != nil {
-		entry.WithField("config_bytes", len(n.Config)).WithField("targets", len(n.Targets)+len(n.Gone)).WithField("all", n.Listed).
-			WithField("ask_store", n.AskStore).WithField("versions", len(n.Versions)).WithField("rollout", n.Rollout != nil).Info("news taken from a peer")
-		g.takeNews(n)
+	g.sendEvent(leavingReceived{targets: reply.Leaving, from: reply.From})
+	if n := reply.Update; n != nil {
+		entry.WithField("config_bytes", len(n.Config)).WithField("targets", len(n.Targets)+len(n.GoneTargets)).WithField("all", n.AllTargets).
+			WithField("ask_store", n.ReadStore).WithField("versions", len(n.NamedVersions)).WithField("rollout", n.Rollout != nil).Info("news taken from a peer")
+		g.applyUpdate(n)
 	}
 }
 
-// spreadGap is the least time between two rounds of telling peers of changes: in a
+// gossipInterval is the least time between two rounds of telling peers of changes: in a
 // storm of changes they are told of several at once.
-const spreadGap = controlTick
+const gossipInterval = controlTick
 
-// pendingNews is what this instance has still to tell its peers.
-type pendingNews struct {
-	changed bool
-	first   bool      // this instance is among the first to know
-	roles   bool      // it left the watchers, or came back to them
-	at      time.Time // of the last round
+// pendingUpdates is what this instance has still to tell its peers.
+type pendingUpdates struct {
+	changed     bool
+	firstSource bool      // this instance is among the first to know
+	roleChanged bool      // it left the watchers, or came back to them
+	lastRound   time.Time // of the last round
 }
 
-// newsMark is the state that a change is measured against.
-type newsMark struct {
-	have              Have
-	heard             uint64 // newest version of a configuration that a peer spoke of
-	leaving           leavingWords
-	attached, watcher bool
+// updateMark is the state that a change is measured against.
+type updateMark struct {
+	versions                StateVersions
+	reportedConfig          uint64 // newest version of a configuration that a peer spoke of
+	leavingReports          leavingReports
+	storeReachable, watcher bool
 }
 
-func (c *control) newsMark() newsMark {
-	return newsMark{have: c.have(), heard: c.heard.Version, leaving: c.leaving, attached: c.storeOK, watcher: c.fleet.watcher}
+func (c *controlState) updateMark() updateMark {
+	return updateMark{versions: c.stateVersions(), reportedConfig: c.reportedConfig.Version, leavingReports: c.leavingReports, storeReachable: c.storeReachable, watcher: c.fleet.watcher}
 }
 
-// noteNews notes what has to be told of a change. A watcher that the store left, or
+// noteUpdates notes what has to be told of a change. A watcher that the store left, or
 // found again, tells that too: another must take its place.
-func (c *control) noteNews(v *View, old newsMark) {
-	now := c.have()
-	watcher := v.Watcher || old.watcher
-	n := &c.news
-	n.roles = n.roles || watcher && c.storeOK != old.attached
-	changed := now != old.have || c.leaving.heard != old.leaving.heard
-	n.first = n.first || watcher || c.leaving.own != old.leaving.own || changed && c.now().Before(c.firstHand) || now.Rollout != old.have.Rollout && c.ownNews
+func (c *controlState) noteUpdates(v *View, old updateMark) {
+	now := c.stateVersions()
+	watcher := v.IsWatcher || old.watcher
+	n := &c.pendingUpdates
+	n.roleChanged = n.roleChanged || watcher && c.storeReachable != old.storeReachable
+	changed := now != old.versions || c.leavingReports.received != old.leavingReports.received
+	n.firstSource = n.firstSource || watcher || c.leavingReports.observed != old.leavingReports.observed || changed && c.now().Before(c.firstSourceUntil) || now.Rollout != old.versions.Rollout && c.rolloutIsOwn
 	n.changed = n.changed || changed
 }
 
-// spreadNews tells peers what changed. In a small fleet those that hear of changes
+// spreadUpdates tells peers what changed. In a small fleet those that hear of changes
 // first tell all the others. In a large one they tell the tops of the tree, and each
 // instance the ones that it serves there; who is missed, since another is down, learns it
 // from the next probe.
-func (g *Gateway) spreadNews(c *control, v *View) {
-	n, now := c.news, c.now()
-	if !n.changed && !n.roles || now.Sub(n.at) < spreadGap || g.ctx.Err() != nil {
+func (g *Gateway) spreadUpdates(c *controlState, v *View) {
+	n, now := c.pendingUpdates, c.now()
+	if !n.changed && !n.roleChanged || now.Sub(n.lastRound) < gossipInterval || g.ctx.Err() != nil {
 		return
 	}
-	c.news = pendingNews{at: now}
+	c.pendingUpdates = pendingUpdates{lastRound: now}
 	var to []member.Member
 	switch {
-	case n.roles || n.first && v.Tree.small:
-		to = c.members.Sample(spreadTo)
-	case n.first:
-		to = append(v.Tree.topsElsewhere(), v.Tree.children()...)
+	case n.roleChanged || n.firstSource && v.Tree.small:
+		to = c.members.Sample(gossipFanout)
+	case n.firstSource:
+		to = append(v.Tree.otherTops(), v.Tree.children()...)
 	default:
 		to = v.Tree.children()
 	}
 	if len(to) == 0 {
 		return
 	}
-	hello := c.greeting(false)
+	hello := c.newHello(false)
 	for _, m := range to {
-		g.start(func() { g.hello(member.Probe{To: m.Name, Address: m.Address}, hello) })
+		g.spawn(func() { g.sendHello(member.Probe{To: m.Name, Address: m.Address}, hello) })
 	}
 }
--- a/internal/gateway/updates_test.go
+++ b/internal/gateway/updates_test.go
@@ -12,15 +12,15 @@
 	"github.com/shedhoist/shedhoist/internal/platform"
 )
 
-// storedTargets is an object store's targets with their whole history.
-type storedTargets struct {
+// fakeTargetStore is an object store's targets with their whole history.
+type fakeTargetStore struct {
 	revision uint64
 	now      map[string]uint64            // revision of each entry, by id
 	at       map[uint64]map[string]uint64 // the same as of each revision
 	changed  []string                     // id by revision, less one
 }
 
-func (s *storedTargets) set(id string, present bool) {
+func (s *fakeTargetStore) set(id string, present bool) {
 	s.revision++
 	s.changed = append(s.changed, id)
 	s.now = maps.Clone(s.now)
@@ -32,7 +32,7 @@
 }
 
 // list is what an instance gets that lists all.
-func (s *storedTargets) list() targetsListed {
+func (s *fakeTargetStore) list() targetsListed {
 	e := targetsListed{revision: platform.Version(s.revision), from: fromStore}
 	for id, at := range s.now {
 		e.targets = append(e.targets, entry(id, at))
@@ -42,7 +42,7 @@
 
 // changes is what an instance gets that goes on from a revision: also that targets are
 // gone which came since.
-func (s *storedTargets) changes(after uint64) targetsChanged {
+func (s *fakeTargetStore) changes(after uint64) targetsChanged {
 	e := targetsChanged{revision: platform.Version(s.revision)}
 	seen := map[string]bool{}
 	for _, id := range s.changed[after:] {
@@ -67,22 +67,22 @@
 func TestNewsAreComplete(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(5, 6))
-	s := &storedTargets{now: map[string]uint64{}, at: map[uint64]map[string]uint64{0: {}}}
-	id := func() string { return fmt.Sprintf("i-%03d", r.IntN(longList*3/2)) }
-	for i := range longList + 20 {
+	s := &fakeTargetStore{now: map[string]uint64{}, at: map[uint64]map[string]uint64{0: {}}}
+	id := func() string { return fmt.Sprintf("i-%03d", r.IntN(maxRelayedTargets*3/2)) }
+	for i := range maxRelayedTargets + 20 {
 		s.set(fmt.Sprintf("i-%03d", i), true)
 	}
 	now := at0
-	start := func(i int) *control {
+	start := func(i int) *controlState {
 		c := controlOf(fmt.Sprintf("e-%d", i), "z0")
 		c.now = func() time.Time { return now }
 		return c
 	}
-	fleet := make([]*control, 6)
+	fleet := make([]*controlState, 6)
 	for i := range fleet {
 		fleet[i] = start(i)
 	}
-	var late []lateNews
+	var late []delayedUpdate
 	took := map[string]int{}
 	for range 20_000 {
 		now = now.Add(10 * time.Millisecond)
@@ -99,15 +99,15 @@
 			fleet[i] = start(i)
 		case n < 90:
 			from := fleet[r.IntN(len(fleet))]
-			takeNews(c, from.newsFor(c.known(), r.IntN(4) == 0), s, took)
+			applyDelayed(c, from.updateFor(c.knownVersions(), r.IntN(4) == 0), s, took)
 		default: // the answer comes later
 			from := fleet[r.IntN(len(fleet))]
-			late = append(late, lateNews{c, from.newsFor(c.known(), r.IntN(4) == 0)})
+			late = append(late, delayedUpdate{c, from.updateFor(c.knownVersions(), r.IntN(4) == 0)})
 		}
 		if len(late) > 5 {
 			j := r.IntN(len(late))
 			to := late[j].to
-			takeNews(to, late[j].news, s, took)
+			applyDelayed(to, late[j].news, s, took)
 			late = append(late[:j], late[j+1:]...)
 			checkTable(t, to, s.at[uint64(to.targets.Revision())])
 		}
@@ -119,33 +119,33 @@
 	is.True(took["changes"] > 100 && took["all"] > 10 && took["store"] > 10)
 }
 
-// lateNews is an answer under way.
-type lateNews struct {
-	to   *control
-	news *News
+// delayedUpdate is an answer under way.
+type delayedUpdate struct {
+	to   *controlState
+	news *StateUpdate
 }
 
-// takeNews lets an instance take another's news as Gateway.takeNews does.
-func takeNews(c *control, n *News, s *storedTargets, took map[string]int) {
+// applyDelayed lets an instance take another's news as Gateway.applyDelayed does.
+func applyDelayed(c *controlState, n *StateUpdate, s *fakeTargetStore, took map[string]int) {
 	switch {
 	case n == nil:
-	case n.AskStore && c.targets.Listed():
+	case n.ReadStore && c.targets.Listed():
 		took["store"]++
 		s.changes(uint64(c.targets.Revision())).apply(c)
-	case n.AskStore:
+	case n.ReadStore:
 		s.list().apply(c)
-	case n.Listed:
+	case n.AllTargets:
 		took["all"]++
-		targetsListed{revision: n.Revision, targets: n.Targets, vanished: n.Gone, from: fromPeer}.apply(c)
-	case n.Revision > 0:
+		targetsListed{revision: n.TargetsRevision, targets: n.Targets, vanished: n.GoneTargets, from: fromPeer}.apply(c)
+	case n.TargetsRevision > 0:
 		took["changes"]++
-		targetsChanged{revision: n.Revision, present: n.Targets, gone: n.Gone}.apply(c)
+		targetsChanged{revision: n.TargetsRevision, present: n.Targets, gone: n.GoneTargets}.apply(c)
 	}
 }
 
 // checkTable compares what an instance knows with what there was at its revision. Entries
 // that vanished together may be held for a while.
-func checkTable(t *testing.T, c *control, want map[string]uint64) {
+func checkTable(t *testing.T, c *controlState, want map[string]uint64) {
 	t.Helper()
 	if !c.targets.Listed() {
 		return
--- a/internal/gateway/view_build.go
+++ b/internal/gateway/view_build.go
@@ -17,41 +17,41 @@
 // hundreds of instances and thousands of targets. So the parts of a view are made anew
 // only when what they are made from has changed; views share them.
 
-// fleetPart is what a view says of the instances.
-type fleetPart struct {
-	made      bool
+// fleetSnapshot is what a view says of the instances.
+type fleetSnapshot struct {
+	valid     bool
 	instances int
 	others    []string // see View.Others
 	alive     []string
 	peers     []member.Member
 	attached  []string
-	tree      *tree
+	tree      *relayTree
 	watchRank int // see watcherRole
 	watchers  []string
 	watcher   bool
-	cold      *coldChoice
+	warmup    *warmupShares
 }
 
 // fleetChanged says whether the instances changed since the part was made.
-func (c *control) fleetChanged() bool {
+func (c *controlState) fleetChanged() bool {
 	if c.members.Changed() {
-		c.fleet.made = false
+		c.fleet.valid = false
 	}
-	return !c.fleet.made
+	return !c.fleet.valid
 }
 
-// fleetNow returns the part on the instances, made anew if need be.
-func (c *control) fleetNow() fleetPart {
+// currentFleet returns the part on the instances, made anew if need be.
+func (c *controlState) currentFleet() fleetSnapshot {
 	if !c.fleetChanged() {
 		return c.fleet
 	}
-	p := fleetPart{made: true}
+	p := fleetSnapshot{valid: true}
 	self := c.members.Self()
-	p.cold = &coldChoice{self: self.Name}
+	p.warmup = &warmupShares{self: self.Name}
 	for _, m := range c.members.Members() {
 		if m.State != member.Left {
 			p.instances++
-			p.cold.known = append(p.cold.known, m.Name)
+			p.warmup.instances = append(p.warmup.instances, m.Name)
 			if m.Name != self.Name {
 				p.others = append(p.others, m.Name)
 			}
@@ -68,43 +68,43 @@
 	if len(p.attached) == 0 {
 		p.attached = p.alive // nobody reaches the store: the roles stay where they are
 	}
-	p.tree = newTree(p.peers, self)
+	p.tree = newRelayTree(p.peers, self)
 	p.watchRank = rankOf(p.attached, self.Name, watcherRole)
-	p.watcher = p.watchRank < watchers
-	p.watchers = rendezvous.First(p.attached, watcherRole, watchers)
+	p.watcher = p.watchRank < watcherCount
+	p.watchers = rendezvous.First(p.attached, watcherRole, watcherCount)
 	c.fleet = p
 	return p
 }
 
-// servingPart is what a view says of the targets.
-type servingPart struct {
-	made       bool
-	cfg        *catalog.Config   // that it was made with
-	edits      uint64            // of the table that it was made from
-	closing    map[string]bool   // targets left out, since they are about to load weights
-	newest     map[string]uint64 // weight versions named, by model
-	targets    map[string]*catalog.Target
-	serving    map[string][]*catalog.Target
-	candidates map[string][]*catalog.Target
-	behind     []*catalog.Target
-	departed   []registry.Departure
-	zones      []string       // evacuated
-	evacuated  map[string]int // targets left out for that, by service
+// servingSnapshot is what a view says of the targets.
+type servingSnapshot struct {
+	valid          bool
+	cfg            *catalog.Config   // that it was made with
+	tableEdits     uint64            // of the table that it was made from
+	cordoned       map[string]bool   // targets left out, since they are about to load weights
+	newestVersions map[string]uint64 // weight versions named, by model
+	targets        map[string]*catalog.Target
+	serving        map[string][]*catalog.Target
+	candidates     map[string][]*catalog.Target
+	outdated       []*catalog.Target
+	departed       []registry.Departure
+	evacuatedZones []string       // evacuated
+	evacuatedCount map[string]int // targets left out for that, by service
 }
 
-// servingNow returns the part on the targets, made anew if need be.
-func (c *control) servingNow() servingPart {
-	closing, newest := c.closing(), map[string]uint64{}
+// currentServing returns the part on the targets, made anew if need be.
+func (c *controlState) currentServing() servingSnapshot {
+	closing, newest := c.cordoned(), map[string]uint64{}
 	for model, n := range c.named {
-		newest[model] = n.Version
+		newest[model] = n.Newest
 	}
 	zones := c.evacuated.Names()
 	old := &c.serving
-	if old.made && old.cfg == c.cfg && old.edits == c.targets.Edits() && maps.Equal(old.closing, closing) && maps.Equal(old.newest, newest) && slices.Equal(old.zones, zones) {
+	if old.valid && old.cfg == c.cfg && old.tableEdits == c.targets.Edits() && maps.Equal(old.cordoned, closing) && maps.Equal(old.newestVersions, newest) && slices.Equal(old.evacuatedZones, zones) {
 		return *old
 	}
-	p := servingPart{made: true, cfg: c.cfg, edits: c.targets.Edits(), closing: closing, newest: newest, targets: make(map[string]*catalog.Target, len(c.targets.Entries())),
-		serving: map[string][]*catalog.Target{}, departed: c.targets.Departed(), zones: zones, evacuated: map[string]int{}}
+	p := servingSnapshot{valid: true, cfg: c.cfg, tableEdits: c.targets.Edits(), cordoned: closing, newestVersions: newest, targets: make(map[string]*catalog.Target, len(c.targets.Entries())),
+		serving: map[string][]*catalog.Target{}, departed: c.targets.Departed(), evacuatedZones: zones, evacuatedCount: map[string]int{}}
 	for _, t := range c.targets.Entries() {
 		if t.Unusable {
 			continue
@@ -113,23 +113,23 @@
 		if t.Leaves() || !c.cfg.Declares(t.Service) {
 			continue
 		}
-		if isBehind(&t.Target, newest) {
-			p.behind = append(p.behind, &t.Target)
+		if isOutdated(&t.Target, newest) {
+			p.outdated = append(p.outdated, &t.Target)
 		}
 		switch {
 		case slices.Contains(zones, t.Zone):
-			p.evacuated[t.Service]++
+			p.evacuatedCount[t.Service]++
 		case !closing[t.ID]:
 			p.serving[t.Service] = append(p.serving[t.Service], &t.Target)
 		}
 	}
-	p.candidates = c.candidates(p.serving)
+	p.candidates = c.chooseCandidates(p.serving)
 	c.serving = p
 	return p
 }
 
-// isBehind says whether a target has older weights than named.
-func isBehind(t *catalog.Target, newest map[string]uint64) bool {
+// isOutdated says whether a target has older weights than named.
+func isOutdated(t *catalog.Target, newest map[string]uint64) bool {
 	for _, m := range t.Models {
 		if m.Version < newest[m.Model] {
 			return true
@@ -138,19 +138,19 @@
 	return false
 }
 
-// mostCandidates is how many targets of a service an instance considers for a request:
+// maxCandidates is how many targets of a service an instance considers for a request:
 // enough to find one that is free and near the stores, while the cost of a decision does
 // not grow with the fleet. A service of up to as many targets is considered whole.
-const mostCandidates = 64
+const maxCandidates = 64
 
-// candidates chooses for each large service the targets that this instance uses: those of
+// chooseCandidates chooses for each large service the targets that this instance uses: those of
 // its own zone before others, and among these by rendezvous hashing, so that each target
 // is used by about as many instances and what an instance learns of a target stays of use.
-func (c *control) candidates(serving map[string][]*catalog.Target) map[string][]*catalog.Target {
+func (c *controlState) chooseCandidates(serving map[string][]*catalog.Target) map[string][]*catalog.Target {
 	out := make(map[string][]*catalog.Target, len(serving))
 	zone := c.members.Self().Zone
 	for service, targets := range serving {
-		if len(targets) <= mostCandidates {
+		if len(targets) <= maxCandidates {
 			out[service] = targets
 			continue
 		}
@@ -161,7 +161,7 @@
 			}
 			return cmp.Compare(c.targets.Entry(b.Name).Rank, c.targets.Entry(a.Name).Rank)
 		})
-		out[service] = ranked[:mostCandidates:mostCandidates]
+		out[service] = ranked[:maxCandidates:maxCandidates]
 	}
 	return out
 }
@@ -177,39 +177,41 @@
 	return 1
 }
 
-// closing names the targets that shall get no new requests, since they are
+// cordoned names the targets that shall get no new requests, since they are
 // about to load weights.
-func (c *control) closing() map[string]bool {
+func (c *controlState) cordoned() map[string]bool {
 	out := map[string]bool{}
-	if c.now().Sub(c.heardOf) < closingFor {
-		for _, id := range c.rollout.Closing {
+	if c.now().Sub(c.rolloutReceivedAt) < cordonTTL {
+		for _, id := range c.rollout.Cordoned {
 			out[id] = true
 		}
 	}
 	return out
 }
 
-// reopened says whether the view published last leaves out targets that are no longer
+// uncordoned says whether the view published last leaves out targets that are no longer
 // closing.
-func (c *control) reopened() bool { return len(c.serving.closing) > 0 && len(c.closing()) == 0 }
+func (c *controlState) uncordoned() bool {
+	return len(c.serving.cordoned) > 0 && len(c.cordoned()) == 0
+}
 
-// view builds the picture that request goroutines read.
-func (c *control) view() *View {
-	f, s := c.fleetNow(), c.servingNow()
+// buildView builds the picture that request goroutines read.
+func (c *controlState) buildView() *View {
+	f, s := c.currentFleet(), c.currentServing()
 	v := &View{
-		Config: c.cfg, ConfigHeard: max(c.configInForce().Version, c.heard.Version), ConfigBytes: len(c.raw),
-		Targets: s.targets, Serving: s.serving, Candidates: s.candidates, Behind: s.behind, Departed: s.departed,
-		Others: f.others, Instances: f.instances, Alive: f.alive, Peers: f.peers, Attached: f.attached, Tree: f.tree, Watcher: f.watcher, WatchRank: f.watchRank, Watchers: f.watchers,
-		Revision: c.targets.Revision(), Listed: c.targets.Listed(),
-		Named: map[string]Named{}, Rollout: c.rollout, Draining: c.draining, StoreOK: c.storeOK, CutOff: c.cutOff.now,
-		Released: c.released, coldChoice: f.cold, SettledAt: c.settledAt,
-		EvacuatedZones: s.zones, Evacuated: s.evacuated, EvacuatedAt: c.evacuated.At(), EvacuationsUnknown: c.followsEvacuations && !c.evacuated.Known(),
+		Config: c.cfg, NewestReportedConfig: max(c.configInForce().Version, c.reportedConfig.Version), ConfigBytes: len(c.rawConfig),
+		Targets: s.targets, Serving: s.serving, Candidates: s.candidates, Outdated: s.outdated, Departed: s.departed,
+		OtherInstances: f.others, InstanceCount: f.instances, Alive: f.alive, Peers: f.peers, Attached: f.attached, Tree: f.tree, IsWatcher: f.watcher, WatchRank: f.watchRank, Watchers: f.watchers,
+		TargetsRevision: c.targets.Revision(), TargetsListed: c.targets.Listed(),
+		NamedVersions: map[string]NamedVersions{}, Rollout: c.rollout, Draining: c.draining, StoreReachable: c.storeReachable, Isolated: c.isolation.active,
+		ReleasedAt: c.releasedAt, warmupShares: f.warmup, WarmupAllowedAt: c.warmupAllowedAt,
+		EvacuatedZones: s.evacuatedZones, EvacuatedTargets: s.evacuatedCount, EvacuationsRevision: c.evacuated.At(), EvacuationsUnknown: c.followsEvacuations && !c.evacuated.Known(),
 	}
-	maps.Copy(v.Named, c.named)
+	maps.Copy(v.NamedVersions, c.named)
 	return v
 }
 
-// newTargets returns an empty list of targets.
-func newTargets(l log.Interface, self string) *registry.Table {
-	return registry.New(registry.Options{Log: l, Rank: func(name string) uint64 { return rendezvous.Score(self, name) }, Linger: lingerTime})
+// newTargetTable returns an empty list of targets.
+func newTargetTable(l log.Interface, self string) *registry.Table {
+	return registry.New(registry.Options{Log: l, Rank: func(name string) uint64 { return rendezvous.Score(self, name) }, Linger: departedTTL})
 }
--- a/internal/gateway/view_build_test.go
+++ b/internal/gateway/view_build_test.go
@@ -16,12 +16,12 @@
 )
 
 // controlOf is the control state of one instance of a zone.
-func controlOf(name, zone string) *control {
+func controlOf(name, zone string) *controlState {
 	quiet := &log.Logger{Handler: discard.Default}
 	self := member.Member{Name: name, Address: "10.0.0.1:1", Zone: zone, Incarnation: 1}
-	return &control{log: quiet, now: func() time.Time { return at0 }, named: map[string]Named{}, storeOK: true,
+	return &controlState{log: quiet, now: func() time.Time { return at0 }, named: map[string]NamedVersions{}, storeReachable: true,
 		members: member.New(member.DefaultParams, self, func(int) int { return 0 }),
-		targets: newTargets(quiet, name), cfg: catalog.NewConfig(catalog.Draft{Services: []catalog.Service{{Name: "s"}}})}
+		targets: newTargetTable(quiet, name), cfg: catalog.NewConfig(catalog.Draft{Services: []catalog.Service{{Name: "s"}}})}
 }
 
 // targetsOf are n targets over some zones.
@@ -40,37 +40,37 @@
 	is := is.New(t)
 	c := controlOf("a", "z0")
 	c.targets.List(9, targetsOf(3, 1), nil, at0)
-	first := c.view()
+	first := c.buildView()
 	same := entry("i-0001", 10)
 	same.Zone = "z0"
 	c.targets.Change(10, []catalog.Target{same}, nil, at0)
-	v := c.view()
-	is.Equal(v.Revision, platform.Version(10))
+	v := c.buildView()
+	is.Equal(v.TargetsRevision, platform.Version(10))
 	is.True(v.Tree == first.Tree && v.Targets["i-0001"] == first.Targets["i-0001"])
 
 	c.targets.Serves("i-0001", catalog.ModelVersion{Model: "m", Version: 2})
-	is.Equal(c.view().Targets["i-0001"].VersionOf("m"), uint64(2))
+	is.Equal(c.buildView().Targets["i-0001"].VersionOf("m"), uint64(2))
 	is.Equal(first.Targets["i-0001"].VersionOf("m"), uint64(1)) // what was published stays
 
 	versionsNamed{revision: 11, changed: 11, versions: []catalog.ModelVersion{{Model: "m", Version: 2}}}.apply(c)
-	is.Equal(len(c.view().Behind), 2)
+	is.Equal(len(c.buildView().Outdated), 2)
 
-	rolloutHeard{news: RolloutNews{Stamp: RolloutStamp{Token: 1}, Closing: []string{"i-0000"}}}.apply(c)
-	is.Equal(len(c.view().Serving["s"]), 2)
-	now := at0.Add(closingFor)
+	rolloutReceived{update: RolloutUpdate{Stamp: RolloutStamp{Token: 1}, Cordoned: []string{"i-0000"}}}.apply(c)
+	is.Equal(len(c.buildView().Serving["s"]), 2)
+	now := at0.Add(cordonTTL)
 	c.now = func() time.Time { return now }
-	is.True(c.reopened())
-	is.Equal(len(c.view().Serving["s"]), 3)
-	is.True(!c.reopened())
+	is.True(c.uncordoned())
+	is.Equal(len(c.buildView().Serving["s"]), 3)
+	is.True(!c.uncordoned())
 
 	c.targets.Change(12, nil, []string{"i-0002"}, now)
-	v = c.view()
+	v = c.buildView()
 	is.Equal(len(v.Targets), 2)
 	is.Equal(len(v.Serving["s"]), 2)
 	is.Equal(len(v.Departed), 1)
 
 	c.members.Receive([]member.Member{{Name: "b", Address: "10.0.0.2:1", Zone: "z0"}}, now)
-	is.Equal(len(c.view().Alive), 2)
+	is.Equal(len(c.buildView().Alive), 2)
 }
 
 // TestCandidates guards against many, far or unevenly used candidates, and a new choice with each that leaves.
@@ -81,8 +81,8 @@
 	for i := range instances {
 		c := controlOf(fmt.Sprintf("e-%d", i), fmt.Sprintf("z%d", i%zones))
 		c.targets.List(targets, targetsOf(targets, zones), nil, at0)
-		chosen := c.view().Candidates["s"]
-		is.Equal(len(chosen), mostCandidates)
+		chosen := c.buildView().Candidates["s"]
+		is.Equal(len(chosen), maxCandidates)
 		had := map[string]bool{}
 		for _, x := range chosen {
 			is.Equal(x.Zone, fmt.Sprintf("z%d", i%zones))
@@ -91,14 +91,14 @@
 		}
 		c.targets.Change(targets+1, nil, []string{chosen[0].ID}, at0)
 		kept := 0
-		for _, x := range c.view().Candidates["s"] {
+		for _, x := range c.buildView().Candidates["s"] {
 			if had[x.ID] {
 				kept++
 			}
 		}
-		is.Equal(kept, mostCandidates-1)
+		is.Equal(kept, maxCandidates-1)
 	}
-	mean := float64(instances*mostCandidates) / targets
+	mean := float64(instances*maxCandidates) / targets
 	for _, n := range uses {
 		is.True(float64(n) < 2.5*mean)
 	}
@@ -108,13 +108,13 @@
 	some := targetsOf(200, 20) // ten in the zone
 	few.targets.List(9, some, nil, at0)
 	near := 0
-	for _, x := range few.view().Candidates["s"] {
+	for _, x := range few.buildView().Candidates["s"] {
 		if x.Zone == "z0" {
 			near++
 		}
 	}
 	is.Equal(near, 10)
-	is.Equal(len(few.view().Candidates["s"]), mostCandidates)
+	is.Equal(len(few.buildView().Candidates["s"]), maxCandidates)
 }
 
 // TestWiden: where too few of its candidates are fit, an instance finds fit targets among
@@ -130,14 +130,14 @@
 	}
 	c.targets.List(9, all, nil, at0)
 	versionsNamed{revision: 11, changed: 11, versions: []catalog.ModelVersion{{Model: "m", Version: 2}}}.apply(c)
-	v := c.view()
-	g := &Gateway{now: func() time.Time { return at0 }, ejected: breaker.New(func() time.Time { return at0 })}
-	x := &exchange{g: g, view: v, service: "s", call: Call{Prompt: &Prompt{Model: "m"}}}
+	v := c.buildView()
+	g := &Gateway{now: func() time.Time { return at0 }, breaker: breaker.New(func() time.Time { return at0 })}
+	x := &exchange{g: g, view: v, service: "s", call: CallerRequest{Prompt: &Prompt{Model: "m"}}}
 	is.Equal(x.countFit(v.Candidates["s"], nil), 0)
-	wide := x.widen(v.Serving["s"], nil)
-	is.Equal(len(wide), mostCandidates)
+	wide := x.widenCandidates(v.Serving["s"], nil)
+	is.Equal(len(wide), maxCandidates)
 	is.Equal(x.countFit(wide, nil), 20)
-	x.targets = []string{"i-0001"}
+	x.triedTargets = []string{"i-0001"}
 	is.Equal(x.countFit(wide, []string{"i-0002"}), 18)
 }
 
@@ -146,17 +146,17 @@
 func TestLongList(t *testing.T) {
 	is := is.New(t)
 	c := controlOf("e", "z0")
-	c.targets.List(1000, targetsOf(longList+1, 3), nil, at0)
-	n := c.newsFor(Known{Targets: 5}, false)
-	is.True(n.AskStore && !n.Listed && len(n.Targets) == 0)
-	n = c.newsFor(Known{Targets: 5}, true)
-	is.True(!n.AskStore && n.Listed)
-	is.Equal(len(n.Targets), longList+1)
+	c.targets.List(1000, targetsOf(maxRelayedTargets+1, 3), nil, at0)
+	n := c.updateFor(KnownVersions{Targets: 5}, false)
+	is.True(n.ReadStore && !n.AllTargets && len(n.Targets) == 0)
+	n = c.updateFor(KnownVersions{Targets: 5}, true)
+	is.True(!n.ReadStore && n.AllTargets)
+	is.Equal(len(n.Targets), maxRelayedTargets+1)
 	c.targets.Change(1001, nil, []string{"i-0003"}, at0)
-	n = c.newsFor(Known{Targets: 1000}, false)
-	is.True(!n.AskStore && !n.Listed)
-	is.Equal(n.Gone, []string{"i-0003"})
+	n = c.updateFor(KnownVersions{Targets: 1000}, false)
+	is.True(!n.ReadStore && !n.AllTargets)
+	is.Equal(n.GoneTargets, []string{"i-0003"})
 	short := controlOf("e", "z0")
 	short.targets.List(1000, targetsOf(3, 3), nil, at0)
-	is.True(short.newsFor(Known{}, false).Listed)
+	is.True(short.updateFor(KnownVersions{}, false).AllTargets)
 }
--- a/internal/gateway/warmup.go
+++ b/internal/gateway/warmup.go
@@ -13,33 +13,33 @@
 // the evacuation of its zone, and whenever its entry says so.
 
 const (
-	// coldSettle is how long an instance that started, or stood still, sends nothing to cold
+	// warmupSettleTime is how long an instance that started, or stood still, sends nothing to cold
 	// targets: until then not all know it, nor does it know all.
-	coldSettle = 3 * time.Second
-	// stoodStill is the pause between two ticks of the control goroutine from which on the
+	warmupSettleTime = 3 * time.Second
+	// pauseThreshold is the pause between two ticks of the control goroutine from which on the
 	// instance counts as one that stood still.
-	stoodStill = time.Second
+	pauseThreshold = time.Second
 )
 
-// coldChoice is for which targets an instance is chosen, by what it knows of the others. It is
+// warmupShares is for which targets an instance is chosen, by what it knows of the others. It is
 // worked out for a target when it is first asked for.
-type coldChoice struct {
-	self  string
-	known []string
-	m     sync.Map // bool, by the target's name
+type warmupShares struct {
+	self      string
+	instances []string
+	chosen    sync.Map // bool, by the target's name
 }
 
 // quota is how many requests a second this instance may send to a target that bears limit
 // from all.
-func (c *coldChoice) quota(target string, limit float64) int {
+func (c *warmupShares) quota(target string, limit float64) int {
 	if c == nil {
 		return 0
 	}
-	share := cold.ShareOf(limit, len(c.known))
-	yes, known := c.m.Load(target)
+	share := cold.ShareOf(limit, len(c.instances))
+	yes, known := c.chosen.Load(target)
 	if !known {
-		yes = share.Chosen(target, c.self, c.known)
-		c.m.Store(target, yes)
+		yes = share.Chosen(target, c.self, c.instances)
+		c.chosen.Store(target, yes)
 	}
 	if !yes.(bool) {
 		return 0
@@ -47,19 +47,19 @@
 	return share.Quota
 }
 
-func (c *coldChoice) pull(limit float64) float64 {
+func (c *warmupShares) weight(limit float64) float64 {
 	if c == nil {
 		return 1
 	}
-	return cold.ShareOf(limit, len(c.known)).Pull(len(c.known))
+	return cold.ShareOf(limit, len(c.instances)).Pull(len(c.instances))
 }
 
-// isCold says whether a target is cold, as far as is known.
-func (v *View) isCold(t *catalog.Target, now time.Time) bool {
+// isWarmingUp says whether a target is cold, as far as is known.
+func (v *View) isWarmingUp(t *catalog.Target, now time.Time) bool {
 	if now.Before(t.ColdUntil) {
 		return true
 	}
-	released, ok := v.Released[t.Zone]
+	released, ok := v.ReleasedAt[t.Zone]
 	if !ok || v.Config == nil {
 		return false
 	}
@@ -67,59 +67,59 @@
 	return svc != nil && now.Before(released.Add(svc.ColdFor))
 }
 
-// coldQuota is how many requests a second this instance may send to a target now; limited
+// warmupQuota is how many requests a second this instance may send to a target now; limited
 // is false if there is no bound, since it is not cold.
-func (x *exchange) coldQuota(t *catalog.Target, now time.Time) (quota int, limited bool) {
-	if !x.view.isCold(t, now) {
+func (x *exchange) warmupQuota(t *catalog.Target, now time.Time) (quota int, limited bool) {
+	if !x.view.isWarmingUp(t, now) {
 		return 0, false
 	}
 	svc, set := x.view.Config.Services[t.Service], x.g.settings()
 	if svc == nil || svc.ColdRate <= 0 {
 		return 0, false
 	}
-	if !set.Policy.ColdSenders || now.Before(x.view.SettledAt) {
+	if !set.Policy.ColdSenders || now.Before(x.view.WarmupAllowedAt) {
 		return 0, true
 	}
-	return x.view.coldChoice.quota(t.Name, x.coldLimit(t)), true
+	return x.view.warmupShares.quota(t.Name, x.warmupLimit(t)), true
 }
 
-// closed says that a target is cold and bears nothing from this instance now. pull is by how
+// warmupBlocked says that a target is cold and bears nothing from this instance now. pull is by how
 // much it is to be preferred as a home else, see place.Target.
-func (x *exchange) closed(t *catalog.Target, now time.Time) (closed bool, pull float64) {
-	quota, limited := x.coldQuota(t, now)
+func (x *exchange) warmupBlocked(t *catalog.Target, now time.Time) (closed bool, pull float64) {
+	quota, limited := x.warmupQuota(t, now)
 	if !limited {
 		return false, 1
 	}
-	return !x.g.cold.Free(t.ID, quota, now), x.view.coldChoice.pull(x.coldLimit(t))
+	return !x.g.warmup.Free(t.ID, quota, now), x.view.warmupShares.weight(x.warmupLimit(t))
 }
 
-// coldLimit is how many requests a second a target may get from all while it is cold.
-func (x *exchange) coldLimit(t *catalog.Target) float64 {
+// warmupLimit is how many requests a second a target may get from all while it is cold.
+func (x *exchange) warmupLimit(t *catalog.Target) float64 {
 	set := x.g.settings()
-	return x.view.Config.Services[t.Service].ColdRate*max(set.ColdOverage, 1) + set.ColdSlack
+	return x.view.Config.Services[t.Service].ColdRate*max(set.WarmupOverage, 1) + set.WarmupSlack
 }
 
-// enter takes a place at the target of the next attempt, if it is cold; false if there is
+// takeWarmupSlot takes a place at the target of the next attempt, if it is cold; false if there is
 // none any more.
-func (x *exchange) enter(t *catalog.Target, now time.Time) bool {
-	x.entered = false
-	quota, limited := x.coldQuota(t, now)
+func (x *exchange) takeWarmupSlot(t *catalog.Target, now time.Time) bool {
+	x.warmupSlotHeld = false
+	quota, limited := x.warmupQuota(t, now)
 	if !limited {
 		return true
 	}
-	x.entered = x.g.cold.Take(t.ID, quota, now)
-	if x.entered {
+	x.warmupSlotHeld = x.g.warmup.Take(t.ID, quota, now)
+	if x.warmupSlotHeld {
 		metric.ColdRequests.Inc()
 	}
-	return x.entered
+	return x.warmupSlotHeld
 }
 
-// leavePlace returns what gives the place back, once, when the request was written or never
+// releaseWarmupSlot returns what gives the place back, once, when the request was written or never
 // will be.
-func (x *exchange) leavePlace(t *catalog.Target) func() {
-	if !x.entered {
+func (x *exchange) releaseWarmupSlot(t *catalog.Target) func() {
+	if !x.warmupSlotHeld {
 		return func() {}
 	}
-	x.entered = false
-	return sync.OnceFunc(func() { x.g.cold.Done(t.ID, x.g.now()) })
+	x.warmupSlotHeld = false
+	return sync.OnceFunc(func() { x.g.warmup.Done(t.ID, x.g.now()) })
 }
--- a/internal/gateway/warmup_test.go
+++ b/internal/gateway/warmup_test.go
@@ -16,27 +16,27 @@
 
 // What a cold target bears.
 const (
-	memoryColdFor  = 3 * time.Second
-	memoryColdRate = 11.0
-	coldOverage    = 1.5
-	coldSlack      = 5.0
-	coldMost       = memoryColdRate*coldOverage + coldSlack // requests in any second
+	warmupDuration    = 3 * time.Second
+	warmupRate        = 11.0
+	warmupOverage     = 1.5
+	warmupSlack       = 5.0
+	maxWarmupRequests = warmupRate*warmupOverage + warmupSlack // requests in any second
 )
 
-// coldCodec is the dialect of a platform whose targets are cold at first.
-type coldCodec struct{ evacuationCodec }
+// warmupCodec is the dialect of a platform whose targets are cold at first.
+type warmupCodec struct{ evacuationCodec }
 
-// Config implements Codec.
-func (c coldCodec) Config(value []byte) (*catalog.Config, error) {
-	cfg, err := c.evacuationCodec.Config(value)
+// DecodeConfig implements Codec.
+func (c warmupCodec) DecodeConfig(value []byte) (*catalog.Config, error) {
+	cfg, err := c.evacuationCodec.DecodeConfig(value)
 	if err == nil {
-		cfg.Services["s"].ColdFor, cfg.Services["s"].ColdRate = memoryColdFor, memoryColdRate
+		cfg.Services["s"].ColdFor, cfg.Services["s"].ColdRate = warmupDuration, warmupRate
 	}
 	return cfg, err
 }
 
-// secondsOf counts requests by target in sliding seconds.
-type secondsOf struct {
+// requestCounter counts requests by target in sliding seconds.
+type requestCounter struct {
 	mu    sync.Mutex
 	came  map[string][]time.Time // by target
 	worst int
@@ -44,7 +44,7 @@
 	all   int                  // that reached cold targets
 }
 
-func (s *secondsOf) note(m *memoryTarget, _ *http.Request) {
+func (s *requestCounter) note(m *memoryTarget, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
@@ -61,28 +61,28 @@
 }
 
 // mark notes that a target is cold for a time from now on.
-func (s *secondsOf) mark(m *memoryTarget, left time.Duration) {
+func (s *requestCounter) mark(m *memoryTarget, left time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cold[m.name] = time.Now().Add(left)
 }
 
-// becomes has a target say that it is cold, as of now or of some time ago.
-func (s *secondsOf) becomes(m *memoryTarget, since time.Duration) {
-	s.mark(m, memoryColdFor-since)
+// setWarmingUp has a target say that it is cold, as of now or of some time ago.
+func (s *requestCounter) setWarmingUp(m *memoryTarget, since time.Duration) {
+	s.mark(m, warmupDuration-since)
 	m.mu.Lock()
-	born := m.born
+	born := m.startedAt
 	m.mu.Unlock()
-	m.f.store.set(memoryTargets, m.name, catalog.Target{Service: "s", Address: m.name + ":1", Zone: m.zone, Start: born, ColdMS: (memoryColdFor - since).Milliseconds()})
+	m.f.store.set(memoryTargets, m.name, catalog.Target{Service: "s", Address: m.name + ":1", Zone: m.zone, Start: born, ColdMS: (warmupDuration - since).Milliseconds()})
 }
 
 // TestColdTargets guards against more requests in a second than a cold target bears, and against none.
 func TestColdTargets(t *testing.T) {
 	const zone = "z1"
-	turnCold := func(f *evacuatedFleet, s *secondsOf) {
+	turnCold := func(f *evacuatedFleet, s *requestCounter) {
 		for _, m := range f.targets {
 			if m.zone == zone {
-				s.becomes(m, 0)
+				s.setWarmingUp(m, 0)
 			}
 		}
 	}
@@ -90,48 +90,48 @@
 		name string
 		n    int
 		hold time.Duration // the first moments, in which the word spreads, are not counted
-		turn func(f *evacuatedFleet, s *secondsOf)
+		turn func(f *evacuatedFleet, s *requestCounter)
 		ends bool // targets or instances end, and requests with them
 	}{
 		{"they say so", 9, 300 * time.Millisecond, turnCold, false},
 		{"in a large fleet", 60, 300 * time.Millisecond, turnCold, false},
-		{"they start again", 9, 0, func(f *evacuatedFleet, s *secondsOf) {
+		{"they start again", 9, 0, func(f *evacuatedFleet, s *requestCounter) {
 			for _, m := range f.targets {
 				if m.zone != zone {
 					continue
 				}
 				m.mu.Lock()
-				m.coldMS = memoryColdFor.Milliseconds()
+				m.warmupMS = warmupDuration.Milliseconds()
 				m.mu.Unlock()
 				m.crash()
-				s.mark(m, restartTime+memoryColdFor)
+				s.mark(m, restartTime+warmupDuration)
 			}
 			time.Sleep(restartTime)
 		}, true},
-		{"their zone was evacuated", 60, 0, func(f *evacuatedFleet, s *secondsOf) {
+		{"their zone was evacuated", 60, 0, func(f *evacuatedFleet, s *requestCounter) {
 			f.evacuate(zone)
 			time.Sleep(evacuateBound)
 			for _, m := range f.targets {
 				if m.zone == zone {
-					s.mark(m, memoryColdFor)
+					s.mark(m, warmupDuration)
 				}
 			}
-			f.takeBack(zone)
+			f.release(zone)
 		}, false},
-		{"instances start meanwhile", 9, 300 * time.Millisecond, func(f *evacuatedFleet, s *secondsOf) {
+		{"instances start meanwhile", 9, 300 * time.Millisecond, func(f *evacuatedFleet, s *requestCounter) {
 			for range 6 {
 				f.join()
 			}
 			time.Sleep(200 * time.Millisecond)
 			turnCold(f, s)
 		}, false},
-		{"instances are cut off", 9, 300 * time.Millisecond, func(f *evacuatedFleet, s *secondsOf) {
-			f.cutOff([]int{1, 2, 3, 4}, true)
+		{"instances are cut off", 9, 300 * time.Millisecond, func(f *evacuatedFleet, s *requestCounter) {
+			f.isolate([]int{1, 2, 3, 4}, true)
 			time.Sleep(4 * time.Second)
-			f.cutOff([]int{1, 2, 3, 4}, false)
+			f.isolate([]int{1, 2, 3, 4}, false)
 			turnCold(f, s)
 		}, true},
-		{"all instances restart", 9, 0, func(f *evacuatedFleet, s *secondsOf) {
+		{"all instances restart", 9, 0, func(f *evacuatedFleet, s *requestCounter) {
 			turnCold(f, s)
 			f.restartAll()
 		}, true},
@@ -141,20 +141,20 @@
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				s := &secondsOf{came: map[string][]time.Time{}, cold: map[string]time.Time{}}
-				f := newColdFleet(t, c.n, s)
+				s := &requestCounter{came: map[string][]time.Time{}, cold: map[string]time.Time{}}
+				f := newWarmupFleet(t, c.n, s)
 				defer f.end()
 				for range 4 {
-					f.press()
+					f.sendLoad()
 				}
 				time.Sleep(6 * time.Second)
 				c.turn(f, s)
 				time.Sleep(c.hold)
 				s.forget()
-				time.Sleep(memoryColdFor + time.Second)
+				time.Sleep(warmupDuration + time.Second)
 				all, worst := s.totals()
-				if float64(worst) > coldMost {
-					t.Errorf("%d requests in a second at a cold target, %v allowed", worst, coldMost)
+				if float64(worst) > maxWarmupRequests {
+					t.Errorf("%d requests in a second at a cold target, %v allowed", worst, maxWarmupRequests)
 				}
 				t.Logf("%d requests reached cold targets, %d in the worst second", all, worst)
 				if !c.ends {
@@ -166,26 +166,26 @@
 }
 
 // totals are how many requests reached cold targets, and how many of them in the worst second.
-func (s *secondsOf) totals() (all, worst int) {
+func (s *requestCounter) totals() (all, worst int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.all, s.worst
 }
 
 // forget leaves out what came so far.
-func (s *secondsOf) forget() {
+func (s *requestCounter) forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.came, s.worst, s.all = map[string][]time.Time{}, 0, 0
 }
 
-func newColdFleet(t *testing.T, n int, s *secondsOf) *evacuatedFleet {
-	f := &evacuatedFleet{arrivals: &arrivals{last: map[string]time.Time{}, seen: map[string]int{}}, stopped: make(chan struct{})}
-	f.trafficFleet = newFleetWith(t, n, 3, 9, fleetOptions{codec: coldCodec{}, arrived: s.note, edit: func(set *Settings) {
+func newWarmupFleet(t *testing.T, n int, s *requestCounter) *evacuatedFleet {
+	f := &evacuatedFleet{arrivals: &arrivalLog{last: map[string]time.Time{}, seen: map[string]int{}}, stopped: make(chan struct{})}
+	f.trafficFleet = newFleetWith(t, n, 3, 9, fleetOptions{codec: warmupCodec{}, arrived: s.note, edit: func(set *Settings) {
 		set.EvacuateWithin = evacuateBound
-		set.ColdOverage, set.ColdSlack = coldOverage, coldSlack
+		set.WarmupOverage, set.WarmupSlack = warmupOverage, warmupSlack
 	}})
-	f.asked.Store(int32(n))
+	f.records.Store(int32(n))
 	return f
 }
 
@@ -193,12 +193,12 @@
 func TestAllTargetsCold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &secondsOf{came: map[string][]time.Time{}, cold: map[string]time.Time{}}
-		f := newColdFleet(t, 9, s)
+		s := &requestCounter{came: map[string][]time.Time{}, cold: map[string]time.Time{}}
+		f := newWarmupFleet(t, 9, s)
 		defer f.end()
 		time.Sleep(6 * time.Second)
 		for _, m := range f.targets {
-			s.becomes(m, 0)
+			s.setWarmingUp(m, 0)
 		}
 		time.Sleep(300 * time.Millisecond)
 		var mu sync.Mutex
@@ -209,7 +209,7 @@
 			go func() {
 				defer all.Done()
 				began := time.Now()
-				a := f.ask(i%9, pathOnce, fmt.Sprint("request ", i))
+				a := f.request(i%9, pathOnce, fmt.Sprint("request ", i))
 				mu.Lock()
 				defer mu.Unlock()
 				switch a.status {
@@ -229,7 +229,7 @@
 		}
 		all.Wait()
 		_, worst := s.totals()
-		is.True(float64(worst) <= coldMost)
+		is.True(float64(worst) <= maxWarmupRequests)
 		is.True(served > 0)
 		t.Logf("%d served, %d refused", served, refused)
 	})
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -14,80 +14,80 @@
 
 // Pace of following the object store.
 const (
-	// watchWait is how long one watch waits. Each waiting watch is a call that is
+	// watchTimeout is how long one watch waits. Each waiting watch is a call that is
 	// paid for; one that is cut off without a word is noticed when it is over.
-	watchWait = 6 * time.Second
-	// watcherWait is the same for the few instances that notice it for all others,
+	watchTimeout = 6 * time.Second
+	// watcherTimeout is the same for the few instances that notice it for all others,
 	// within the 2 s in which a change must be in force everywhere.
-	watcherWait = 800 * time.Millisecond
-	// watchers is how many instances are: two may fail at the same time.
-	watchers = 3
-	// slowKindWait is a watch of what may take longer to be in force.
-	slowKindWait = 3 * time.Second
-	// watchGap is the least time from one watch to the next: in a storm of changes a
+	watcherTimeout = 800 * time.Millisecond
+	// watcherCount is how many instances are: two may fail at the same time.
+	watcherCount = 3
+	// slowKindTimeout is a watch of what may take longer to be in force.
+	slowKindTimeout = 3 * time.Second
+	// minWatchInterval is the least time from one watch to the next: in a storm of changes a
 	// watch brings several.
-	watchGap = 50 * time.Millisecond
+	minWatchInterval = 50 * time.Millisecond
 	// retryBase and retryMax bound the jittered pause after a failed call, so that
 	// the end of an outage meets no crowd.
 	retryBase = 150 * time.Millisecond
 	retryMax  = 1200 * time.Millisecond
 )
 
-// pause is the time before the next try after so many failures in a row.
-func pause(failures int) time.Duration {
+// retryPause is the time before the next try after so many failures in a row.
+func retryPause(failures int) time.Duration {
 	return wait.Jitter(min(retryBase<<min(failures-1, 8), retryMax))
 }
 
 // feed turns what the store says of one kind into events.
 type feed struct {
-	kind    string
-	watcher time.Duration // how long a watcher's watch waits
-	list    func(platform.Snapshot)
-	changes func(platform.Changes)
-	// due asks for one look at the store by an instance that goes by news; nil: never.
-	due wait.Signal
-	// doubtedToo are the due signals of the kinds that are in doubt whenever this one is.
-	doubtedToo []wait.Signal
-	// known is up to where news made the beliefs complete; nil: they say nothing of it.
-	known func() platform.Version
+	kind           string
+	watcherTimeout time.Duration // how long a watcher's watch waits
+	onList         func(platform.Snapshot)
+	onChanges      func(platform.Changes)
+	// refresh asks for one look at the store by an instance that goes by news; nil: never.
+	refresh wait.Signal
+	// alsoRefresh are the due signals of the kinds that are in doubt whenever this one is.
+	alsoRefresh []wait.Signal
+	// knownRevision is up to where news made the beliefs complete; nil: they say nothing of it.
+	knownRevision func() platform.Version
 	// age is how long ago the copy was known to be complete, see ages.go; nil: not kept.
 	age func() (age time.Duration, known bool)
-	// confirmed takes that it was, as of a moment; nil: nobody wants to know.
-	confirmed func(at time.Time)
+	// onConfirmed takes that it was, as of a moment; nil: nobody wants to know.
+	onConfirmed func(at time.Time)
 }
 
 func (f feed) confirm(at time.Time) {
-	if f.confirmed != nil {
-		f.confirmed(at)
+	if f.onConfirmed != nil {
+		f.onConfirmed(at)
 	}
 }
 
-// followAll keeps all kinds up to date.
-func (g *Gateway) followAll(ctx context.Context) {
+// watchAll keeps all kinds up to date.
+func (g *Gateway) watchAll(ctx context.Context) {
 	config, targets, versions := g.codec.Kinds()
 	slower := []wait.Signal{g.versionsDue, g.evacuationsDue}
 	feeds := []feed{
-		{kind: config, watcher: watcherWait, doubtedToo: slower, list: func(s platform.Snapshot) { g.readConfigs(s.Objects) },
-			changes: func(c platform.Changes) { g.readConfigs(present(c)) }},
-		{kind: targets, watcher: watcherWait, doubtedToo: slower, list: g.listTargets, changes: g.changeTargets, due: g.storeDue,
-			known: func() platform.Version { return g.view.Load().Revision }},
-		{kind: versions, watcher: slowKindWait, due: g.versionsDue, list: func(s platform.Snapshot) { g.readVersions(s.Revision, s.Objects) },
-			changes: func(c platform.Changes) { g.readVersions(c.Revision, present(c)) }},
+		{kind: config, watcherTimeout: watcherTimeout, alsoRefresh: slower, onList: func(s platform.Snapshot) { g.applyConfigs(s.Objects) },
+			onChanges: func(c platform.Changes) { g.applyConfigs(presentObjects(c)) }},
+		{kind: targets, watcherTimeout: watcherTimeout, alsoRefresh: slower, onList: g.listTargets, onChanges: g.changeTargets, refresh: g.targetsDue,
+			knownRevision: func() platform.Version { return g.view.Load().TargetsRevision }},
+		{kind: versions, watcherTimeout: slowKindTimeout, refresh: g.versionsDue, onList: func(s platform.Snapshot) { g.applyVersions(s.Revision, s.Objects) },
+			onChanges: func(c platform.Changes) { g.applyVersions(c.Revision, presentObjects(c)) }},
 	}
 	for i, k := range [...]fresh.Kind{fresh.Config, fresh.Targets, fresh.Versions} {
-		feeds[i].age = func() (time.Duration, bool) { return g.fresh.Age(k, g.now()) }
-		feeds[i].confirmed = func(at time.Time) { g.confirm(k, at) }
+		feeds[i].age = func() (time.Duration, bool) { return g.staleness.Age(k, g.now()) }
+		feeds[i].onConfirmed = func(at time.Time) { g.confirmComplete(k, at) }
 	}
 	if g.settings().EvacuateWithin > 0 {
 		feeds = append(feeds, g.evacuationsFeed())
 	}
 	for _, f := range feeds {
-		g.start(func() { g.follow(ctx, f, feeds[0].kind) })
+		g.spawn(func() { g.watchKind(ctx, f, feeds[0].kind) })
 	}
 }
 
-// present returns the objects that a page of changes leaves, in order.
-func present(c platform.Changes) []platform.Named {
+// presentObjects returns the objects that a page of changes leaves, in order.
+func presentObjects(c platform.Changes) []platform.Named {
 	var out []platform.Named
 	for _, ch := range c.Changes {
 		if !ch.Deleted {
@@ -97,23 +97,23 @@
 	return out
 }
 
-// follow lists a kind, then watches it. A failed call is repeated after a pause
+// watchKind lists a kind, then watches it. A failed call is repeated after a pause
 // that grows; a watch goes on from where it was, unless that history is lost. While
 // the store does not answer about the first kind, the others are not asked for.
-func (g *Gateway) follow(ctx context.Context, f feed, first string) {
+func (g *Gateway) watchKind(ctx context.Context, f feed, first string) {
 	at, listed, failures := platform.Version(0), false, 0
 	var last time.Time
 	for ctx.Err() == nil {
-		news := g.newsComes()
-		if listed && (news || g.joins() || f.kind != first && g.fails(first)) && !f.due.Within(ctx, g.newsPause(f, news)) && !g.doubts(f, news) {
+		news := g.reliesOnPeers()
+		if listed && (news || g.isJoining() || f.kind != first && g.isFailing(first)) && !f.refresh.Within(ctx, g.updatePause(f, news)) && !g.isStale(f, news) {
 			continue
 		}
-		wait.For(ctx, watchGap-g.now().Sub(last))
+		wait.For(ctx, minWatchInterval-g.now().Sub(last))
 		last = g.now()
-		if f.known != nil {
-			at = max(at, f.known())
+		if f.knownRevision != nil {
+			at = max(at, f.knownRevision())
 		}
-		next, err := g.followOnce(ctx, f, at, listed, g.watchFor(f, news))
+		next, err := g.watchOnce(ctx, f, at, listed, g.watchDuration(f, news))
 		var lost *platform.HistoryLostError
 		switch {
 		case ctx.Err() != nil:
@@ -124,27 +124,27 @@
 			continue
 		case err == nil:
 			at, listed, failures = next, true, 0
-			g.contact(f.kind, nil)
+			g.noteContact(f.kind, nil)
 			continue
 		}
 		failures++
 		metric.PlatformDown.Inc()
-		g.contact(f.kind, err)
-		if !wait.For(ctx, pause(failures)) {
+		g.noteContact(f.kind, err)
+		if !wait.For(ctx, retryPause(failures)) {
 			return
 		}
 	}
 }
 
-func (g *Gateway) followOnce(ctx context.Context, f feed, at platform.Version, listed bool, watch time.Duration) (platform.Version, error) {
+func (g *Gateway) watchOnce(ctx context.Context, f feed, at platform.Version, listed bool, watch time.Duration) (platform.Version, error) {
 	asked := g.now()
 	if !listed {
 		s, err := g.store.All(ctx, f.kind)
 		if err != nil {
 			return at, err
 		}
-		g.noteUnreadable(f.kind, s.Unreadable)
-		f.list(s)
+		g.countUnreadable(f.kind, s.Unreadable)
+		f.onList(s)
 		f.confirm(asked)
 		return s.Revision, nil
 	}
@@ -152,14 +152,14 @@
 	if err != nil {
 		return at, err
 	}
-	g.noteUnreadable(f.kind, c.Unreadable)
-	f.changes(c)
-	f.confirm(watchedAt(asked, g.now(), watch, len(c.Changes)))
+	g.countUnreadable(f.kind, c.Unreadable)
+	f.onChanges(c)
+	f.confirm(watchValidAt(asked, g.now(), watch, len(c.Changes)))
 	return max(c.Revision, at), nil
 }
 
-// noteUnreadable counts objects that can't be read as such, and writes a line on them.
-func (g *Gateway) noteUnreadable(kind string, n int) {
+// countUnreadable counts objects that can't be read as such, and writes a line on them.
+func (g *Gateway) countUnreadable(kind string, n int) {
 	if n == 0 {
 		return
 	}
@@ -167,83 +167,83 @@
 	g.log.WithField("kind", kind).WithField("objects", n).Error("objects not readable, left out")
 }
 
-// newsPoll is how often an instance that goes by news looks whether it may still.
-const newsPoll = 250 * time.Millisecond
+// updatePoll is how often an instance that goes by news looks whether it may still.
+const updatePoll = 250 * time.Millisecond
 
-// newsComes says whether this instance may go by its peers' news instead of a
+// reliesOnPeers says whether this instance may go by its peers' news instead of a
 // watch of its own: the fleet is large, others are its watchers, and a peer was
 // heard lately. One that the store did not answer last tries until it does.
-func (g *Gateway) newsComes() bool {
+func (g *Gateway) reliesOnPeers() bool {
 	v := g.view.Load()
-	if len(v.Alive) <= smallFleet || v.Watcher || !g.storeOK.Load() {
+	if len(v.Alive) <= maxSmallFleet || v.IsWatcher || !g.storeReachable.Load() {
 		return false
 	}
-	return g.now().Sub(g.began)-time.Duration(g.heardPeer.Load()) < newsAge
+	return g.now().Sub(g.startedAt)-time.Duration(g.lastPeerContact.Load()) < maxPeerSilence
 }
 
-// joins says whether this process has just started and knows of no other instance yet. In
+// isJoining says whether this process has just started and knows of no other instance yet. In
 // a large fleet it will go by news, and a watch that it opens now would be one for nothing.
-func (g *Gateway) joins() bool {
-	return len(g.view.Load().Alive) <= 1 && g.now().Sub(g.began) < joinTime
+func (g *Gateway) isJoining() bool {
+	return len(g.view.Load().Alive) <= 1 && g.now().Sub(g.startedAt) < joinWindow
 }
 
-// watchFor is how long a watch waits; one who goes by news and looks once does not.
-func (g *Gateway) watchFor(f feed, news bool) time.Duration {
+// watchDuration is how long a watch waits; one who goes by news and looks once does not.
+func (g *Gateway) watchDuration(f feed, news bool) time.Duration {
 	v := g.view.Load()
 	switch {
-	case news, len(v.Alive) > smallFleet && g.fails(f.kind):
-		return watchGap // one that the store did not answer goes by news again once it does
-	case v.Watcher:
-		return f.watcher
+	case news, len(v.Alive) > maxSmallFleet && g.isFailing(f.kind):
+		return minWatchInterval // one that the store did not answer goes by news again once it does
+	case v.IsWatcher:
+		return f.watcherTimeout
 	}
-	return watchWait
+	return watchTimeout
 }
 
-// fails says whether the store does not answer about a kind.
-func (g *Gateway) fails(kind string) bool {
+// isFailing says whether the store does not answer about a kind.
+func (g *Gateway) isFailing(kind string) bool {
 	g.failingMu.Lock()
 	defer g.failingMu.Unlock()
-	return g.failing[kind]
+	return g.failingKinds[kind]
 }
 
-// contact notes whether the store answers about a kind; only a change of the
+// noteContact notes whether the store answers about a kind; only a change of the
 // whole makes an event.
-func (g *Gateway) contact(kind string, err error) {
+func (g *Gateway) noteContact(kind string, err error) {
 	g.failingMu.Lock()
 	defer g.failingMu.Unlock()
 	if err != nil {
-		g.failing[kind] = true
+		g.failingKinds[kind] = true
 	} else {
-		delete(g.failing, kind)
-		g.heard.Store(int64(g.now().Sub(g.began)))
+		delete(g.failingKinds, kind)
+		g.lastStoreContact.Store(int64(g.now().Sub(g.startedAt)))
 	}
-	if ok := len(g.failing) == 0; g.storeOK.Swap(ok) != ok {
-		g.send(storeReached{ok: ok, cause: err})
+	if ok := len(g.failingKinds) == 0; g.storeReachable.Swap(ok) != ok {
+		g.sendEvent(storeContactChanged{reachable: ok, cause: err})
 	}
 }
 
-// readConfigs takes configurations as stored. One that can't be read leaves the
+// applyConfigs takes configurations as stored. One that can't be read leaves the
 // one before in force.
-func (g *Gateway) readConfigs(objects []platform.Named) {
+func (g *Gateway) applyConfigs(objects []platform.Named) {
 	for _, o := range objects {
 		if o.Name == g.codec.ConfigName() {
-			g.readConfig(o.Value, fromStore)
+			g.applyConfig(o.Value, fromStore)
 		}
 	}
 }
 
-func (g *Gateway) readConfig(raw []byte, from source) {
-	cfg, err := g.codec.Config(raw)
+func (g *Gateway) applyConfig(raw []byte, from source) {
+	cfg, err := g.codec.DecodeConfig(raw)
 	if err != nil {
 		metric.ConfigErrors.Inc()
 		g.log.WithError(err).WithField("from", string(from)).Error("configuration not readable, the one before stays in force")
 		return
 	}
-	g.send(configRead{cfg: cfg, raw: raw, from: from})
+	g.sendEvent(configReceived{cfg: cfg, raw: raw, from: from})
 }
 
 func (g *Gateway) listTargets(s platform.Snapshot) {
-	g.send(targetsListed{revision: s.Revision, targets: g.decodeTargets(s.Objects), from: fromStore})
+	g.sendEvent(targetsListed{revision: s.Revision, targets: g.decodeTargets(s.Objects), from: fromStore})
 }
 
 // changeTargets takes a page of changes; of several changes of one object the
@@ -263,7 +263,7 @@
 		stay = append(stay, ch.Named)
 	}
 	e.present = g.decodeTargets(stay)
-	g.send(e)
+	g.sendEvent(e)
 }
 
 // decodeTargets decodes entries. One that can't be read names no target to use, and
@@ -272,7 +272,7 @@
 	out := make([]catalog.Target, 0, len(objects))
 	var bad []error
 	for _, o := range objects {
-		t, err := g.codec.Target(o.Name, o.Value)
+		t, err := g.codec.DecodeTarget(o.Name, o.Value)
 		if err != nil {
 			t = catalog.Target{Name: o.Name, Unusable: true}
 			bad = append(bad, err)
@@ -286,11 +286,11 @@
 	return out
 }
 
-func (g *Gateway) readVersions(revision platform.Version, objects []platform.Named) {
+func (g *Gateway) applyVersions(revision platform.Version, objects []platform.Named) {
 	e := versionsNamed{revision: revision, from: fromStore}
 	for _, o := range objects {
 		e.changed = max(e.changed, o.Version)
-		v, err := g.codec.NamedVersion(o.Name, o.Value)
+		v, err := g.codec.DecodeNamedVersion(o.Name, o.Value)
 		if err != nil {
 			metric.VersionsUnreadable.Inc()
 			g.log.WithError(err).WithField("object", o.Name).Error("weight version not readable, left out")
@@ -298,5 +298,5 @@
 		}
 		e.versions = append(e.versions, v)
 	}
-	g.send(e)
+	g.sendEvent(e)
 }
--- a/internal/gateway/watch_test.go
+++ b/internal/gateway/watch_test.go
@@ -21,7 +21,7 @@
 type countingKinds struct {
 	platform.Kinds
 	lists, watches atomic.Int64
-	after          atomic.Uint64 // the revision that the last watch went on from
+	onCall         atomic.Uint64 // the revision that the last watch went on from
 }
 
 func (k *countingKinds) All(context.Context, string) (platform.Snapshot, error) {
@@ -31,7 +31,7 @@
 
 func (k *countingKinds) Follow(_ context.Context, _ string, after platform.Version, _ time.Duration) (platform.Changes, error) {
 	k.watches.Add(1)
-	k.after.Store(uint64(after))
+	k.onCall.Store(uint64(after))
 	return platform.Changes{Revision: after + 1}, nil
 }
 
@@ -39,16 +39,16 @@
 func followed(t *testing.T, fleet int, play func(g *Gateway, store *countingKinds)) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &countingKinds{}
-		g := &Gateway{log: &log.Logger{Handler: discard.Default}, now: time.Now, began: time.Now(), store: store, storeDue: wait.NewSignal(),
-			failing: map[string]bool{}}
-		g.storeOK.Store(true)
-		all := fleetOf(fleet, 3)
-		g.view.Store(&View{Alive: make([]string, fleet), Tree: newTree(all, member.Member{}), Revision: 7})
-		f := feed{kind: "k", watcher: watcherWait, list: func(platform.Snapshot) {}, changes: func(platform.Changes) {}, due: g.storeDue,
-			known: func() platform.Version { return g.view.Load().Revision }}
+		g := &Gateway{log: &log.Logger{Handler: discard.Default}, now: time.Now, startedAt: time.Now(), store: store, targetsDue: wait.NewSignal(),
+			failingKinds: map[string]bool{}}
+		g.storeReachable.Store(true)
+		all := membersOf(fleet, 3)
+		g.view.Store(&View{Alive: make([]string, fleet), Tree: newRelayTree(all, member.Member{}), TargetsRevision: 7})
+		f := feed{kind: "k", watcherTimeout: watcherTimeout, onList: func(platform.Snapshot) {}, onChanges: func(platform.Changes) {}, refresh: g.targetsDue,
+			knownRevision: func() platform.Version { return g.view.Load().TargetsRevision }}
 		ctx, cancel := context.WithCancel(t.Context())
-		g.heardPeer.Store(int64(time.Hour)) // a peer is always heard
-		go g.follow(ctx, f, "k")
+		g.lastPeerContact.Store(int64(time.Hour)) // a peer is always heard
+		go g.watchKind(ctx, f, "k")
 		play(g, store)
 		cancel()
 		synctest.Wait()
@@ -59,14 +59,14 @@
 // no more, but once when it is told to, from where the news have brought it.
 func TestAskTargets(t *testing.T) {
 	is := is.New(t)
-	followed(t, smallFleet+1, func(g *Gateway, store *countingKinds) {
+	followed(t, maxSmallFleet+1, func(g *Gateway, store *countingKinds) {
 		time.Sleep(10 * time.Second)
 		is.Equal(store.lists.Load(), int64(1))
 		is.Equal(store.watches.Load(), int64(0))
-		g.storeDue.Raise()
+		g.targetsDue.Raise()
 		time.Sleep(10 * time.Second)
 		is.Equal(store.watches.Load(), int64(1))
-		is.Equal(store.after.Load(), uint64(7))
+		is.Equal(store.onCall.Load(), uint64(7))
 	})
 }
 
@@ -75,7 +75,7 @@
 	is := is.New(t)
 	followed(t, 3, func(_ *Gateway, store *countingKinds) {
 		time.Sleep(10 * time.Second)
-		is.True(store.watches.Load() <= int64(10*time.Second/watchGap))
+		is.True(store.watches.Load() <= int64(10*time.Second/minWatchInterval))
 		is.True(store.watches.Load() > 100)
 	})
 }
