--- a/internal/gateway/peer_silences_test.go
+++ b/internal/gateway/peer_silences_test.go
@@ -15,13 +15,13 @@
 // hear of in a large fleet, and against words that return to their teller.
 func TestSilencesAreRelayed(t *testing.T) {
 	is := is.New(t)
-	n := neighbour{relayed: map[string]bool{"child": true}}
+	n := neighbour{relayedFrom: map[string]bool{"child": true}}
 	others := map[string][]loadreport.TargetAge{
 		"child":  {{Target: 1, AgeMS: 700}, {Target: 2, AgeMS: 600}},
 		"parent": {{Target: 3, AgeMS: 900}},
 	}
 	got := map[loadreport.Key]int64{}
-	for _, s := range n.shareSilences([]loadreport.TargetAge{{Target: 1, AgeMS: 500}, {Target: 4, AgeMS: 800}}, others) {
+	for _, s := range n.silencesToReport([]loadreport.TargetAge{{Target: 1, AgeMS: 500}, {Target: 4, AgeMS: 800}}, others) {
 		got[s.Target] = s.AgeMS
 	}
 	is.Equal(got, map[loadreport.Key]int64{1: 700, 2: 600, 4: 800})
@@ -51,17 +51,17 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	g := &Gateway{now: func() time.Time { return now }, upstream: newUpstream()}
-	g.upstream.work.Get("silent").Responses.RecordRequest(now.Add(-answerDue))
-	g.upstream.work.Get("busy").Responses.RecordRequest(now.Add(-answerDue + time.Millisecond))
-	is.Equal(g.ownSilences(), []loadreport.TargetAge{{Target: loadreport.KeyOf("silent"), AgeMS: answerDue.Milliseconds()}})
+	g.upstream.inflight.Get("silent").Responses.RecordRequest(now.Add(-silenceThreshold))
+	g.upstream.inflight.Get("busy").Responses.RecordRequest(now.Add(-silenceThreshold + time.Millisecond))
+	is.Equal(g.ownSilentTargets(), []loadreport.TargetAge{{Target: loadreport.KeyOf("silent"), AgeMS: silenceThreshold.Milliseconds()}})
 }
 
 // TestLateSavesAreRelayed guards against late saves that only the instances next to their teller
 // hear of in a large fleet, and against words that return to their teller.
 func TestLateSavesAreRelayed(t *testing.T) {
 	is := is.New(t)
-	n := neighbour{relayed: map[string]bool{"child": true}}
-	got := n.shareLate([]loadreport.Key{1, 4}, map[string][]loadreport.Key{"child": {1, 2}, "parent": {3}})
+	n := neighbour{relayedFrom: map[string]bool{"child": true}}
+	got := n.pendingSavesToReport([]loadreport.Key{1, 4}, map[string][]loadreport.Key{"child": {1, 2}, "parent": {3}})
 	slices.Sort(got)
 	is.Equal(got, []loadreport.Key{1, 2, 4})
 }
@@ -74,12 +74,12 @@
 	key := loadreport.KeyOf("t")
 	waits := []loadreport.TargetAge{{Target: key, AgeMS: 2000}}
 	hears := &Gateway{now: func() time.Time { return now }, upstream: newUpstream()}
-	hears.upstream.work.Get("t").Responses.RecordActivity(now.Add(-time.Second))
-	heard := hears.ownHeard(map[string][]loadreport.TargetAge{"waits": waits})
+	hears.upstream.inflight.Get("t").Responses.RecordActivity(now.Add(-time.Second))
+	heard := hears.ownAnswered(map[string][]loadreport.TargetAge{"waits": waits})
 	is.Equal(heard, []loadreport.TargetAge{{Target: key, AgeMS: 1000}})
-	is.Equal(len(hears.ownHeard(map[string][]loadreport.TargetAge{"waits": {{Target: key, AgeMS: 900}}})), 0) // silent since
+	is.Equal(len(hears.ownAnswered(map[string][]loadreport.TargetAge{"waits": {{Target: key, AgeMS: 900}}})), 0) // silent since
 
-	s := loadreport.NewUnresponsiveTargets(loadAge)
+	s := loadreport.NewUnresponsiveTargets(loadReportTTL)
 	s.Apply("waits", 1, waits, now)
 	is.Equal(s.Since(key, now), now.Add(-2*time.Second))
 	s.ApplyResponses("hears", 1, heard, now)
@@ -87,6 +87,6 @@
 	s.ApplyResponses("hears", 2, nil, now)
 	is.True(!s.Since(key, now).IsZero())
 
-	n := neighbour{relayed: map[string]bool{"hears": true}}
-	is.Equal(n.shareHeard([]loadreport.TargetAge{{Target: key, AgeMS: 1500}}, map[string][]loadreport.TargetAge{"hears": heard, "elsewhere": {{Target: key}}}), heard)
+	n := neighbour{relayedFrom: map[string]bool{"hears": true}}
+	is.Equal(n.answeredToReport([]loadreport.TargetAge{{Target: key, AgeMS: 1500}}, map[string][]loadreport.TargetAge{"hears": heard, "elsewhere": {{Target: key}}}), heard)
 }
