--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -91,7 +91,7 @@
 		GotConn:      func(httptrace.GotConnInfo) { at.connObtained.Store(true) },
 		WroteRequest: func(httptrace.WroteRequestInfo) { leavePlace() },
 	})
-	defer x.g.zones.trackAttempt(t.Zone, at, x.abandonUnreachable(at, cancel))()
+	defer x.g.zoneMonitor.trackAttempt(t.Zone, at, x.abandonUnreachable(at, cancel))()
 	at.load.Runs.Add(1)
 	defer at.load.Runs.Add(-1)
 	at.load.Tokens.Add(int64(x.promptWork.ReadTokens))
@@ -118,7 +118,7 @@
 		at.load.Silence.Answered(x.g.now())
 	}
 	if errors.Is(err, syscall.ETIMEDOUT) {
-		x.g.zones.connectSlow(t)
+		x.g.zoneMonitor.connectSlow(t)
 	}
 	end := attemptResult{cause: err, event: attempt.BrokeEarly, connBroken: way.Sent}
 	switch {
@@ -237,7 +237,7 @@
 	if x.call.Prompt != nil {
 		a.Model = x.modelAttempt(t)
 	}
-	return upstreamRequest{service: t.Service, targetID: t.ID, address: t.Address, onSlow: func() { x.g.zones.connectSlow(t) }, method: x.r.Method, url: x.r.URL, host: x.r.Host,
+	return upstreamRequest{service: t.Service, targetID: t.ID, address: t.Address, onSlow: func() { x.g.zoneMonitor.connectSlow(t) }, method: x.r.Method, url: x.r.URL, host: x.r.Host,
 		header: x.g.codec.ForwardHeader(x.r.Header, a), body: x.body, reuseConn: t.ID != x.newConnTarget && x.mayReuseConn()}
 }
 
--- a/internal/gateway/backoff_end_test.go
+++ b/internal/gateway/backoff_end_test.go
@@ -46,9 +46,9 @@
 	return f
 }
 
-// TestRestOverIsSeen guards against a target that stays unused for long after its rest, or after
+// TestResumesAfterBackoff guards against a target that stays unused for long after its rest, or after
 // it refused a request, because requests that go to others take its trials.
-func TestRestOverIsSeen(t *testing.T) {
+func TestResumesAfterBackoff(t *testing.T) {
 	const soon = 3 * time.Second
 	for name, rest := range map[string]time.Duration{"it asked for rest": time.Second, "it did not": 0} {
 		t.Run(name, func(t *testing.T) {
@@ -56,7 +56,7 @@
 				is := is.New(t)
 				f := newTwoServicesFleet(t, twoServicesCodec{}, func(since time.Duration, n int, body string) scriptedResponse {
 					if n == 1 {
-						return scriptedResponse{status: http.StatusServiceUnavailable, notRun: true, backoff: rest}
+						return scriptedResponse{status: http.StatusServiceUnavailable, notExecuted: true, backoff: rest}
 					}
 					return served(since, n, body)
 				}, served, served)
--- a/internal/gateway/backoff_test.go
+++ b/internal/gateway/backoff_test.go
@@ -54,11 +54,11 @@
 
 // scriptedResponse is how a target answers one request.
 type scriptedResponse struct {
-	status   int
-	notRun   bool
-	backoff  time.Duration // asked for; 0: none
-	duration time.Duration
-	breaks   bool // a stream that breaks behind its first event
+	status      int
+	notExecuted bool
+	backoff     time.Duration // asked for; 0: none
+	duration    time.Duration
+	breaks      bool // a stream that breaks behind its first event
 }
 
 // responseScript says how a target answers its n-th request, at a time since the play began.
@@ -72,7 +72,7 @@
 func overloadedUntil(end, rest time.Duration) responseScript {
 	return func(since time.Duration, n int, body string) scriptedResponse {
 		if since < end {
-			return scriptedResponse{status: http.StatusServiceUnavailable, notRun: true, backoff: rest}
+			return scriptedResponse{status: http.StatusServiceUnavailable, notExecuted: true, backoff: rest}
 		}
 		return served(since, n, body)
 	}
@@ -134,8 +134,8 @@
 	m.srv.Close()
 }
 
-// note takes note of a request and returns its number in this life.
-func (m *backoffTarget) note() int {
+// countRequest takes note of a request and returns its number in this life.
+func (m *backoffTarget) countRequest() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.received = append(m.received, time.Now())
@@ -170,7 +170,7 @@
 
 // ServeHTTP answers by the script.
 func (m *backoffTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	n := m.note()
+	n := m.countRequest()
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return // its caller is gone
@@ -179,7 +179,7 @@
 	time.Sleep(reply.duration)
 	h := w.Header()
 	h.Set(trafficID, r.Header.Get(trafficID))
-	if reply.notRun {
+	if reply.notExecuted {
 		h.Set(backoffNotExecutedHeader, "1")
 	}
 	if reply.backoff > 0 {
@@ -317,8 +317,8 @@
 	return n
 }
 
-// TestRestIsGiven guards against requests to a target in the rest that it asked the instance for.
-func TestRestIsGiven(t *testing.T) {
+// TestRespectsBackoff guards against requests to a target in the rest that it asked the instance for.
+func TestRespectsBackoff(t *testing.T) {
 	const (
 		every = 20 * time.Millisecond
 		slow  = 400 * time.Millisecond
@@ -362,9 +362,9 @@
 		{"a shorter rest after a longer one", []responseScript{func(since time.Duration, n int, body string) scriptedResponse {
 			switch n {
 			case 1:
-				return scriptedResponse{status: http.StatusServiceUnavailable, notRun: true, backoff: 4 * time.Second, duration: 50 * time.Millisecond}
+				return scriptedResponse{status: http.StatusServiceUnavailable, notExecuted: true, backoff: 4 * time.Second, duration: 50 * time.Millisecond}
 			case 2:
-				return scriptedResponse{status: http.StatusServiceUnavailable, notRun: true, backoff: time.Second, duration: 100 * time.Millisecond}
+				return scriptedResponse{status: http.StatusServiceUnavailable, notExecuted: true, backoff: time.Second, duration: 100 * time.Millisecond}
 			}
 			return served(since, n, body)
 		}}, func(is *is.I, f *backoffFleet) {
@@ -432,7 +432,7 @@
 		}},
 		{"the target's entry vanishes and comes back", []responseScript{func(since time.Duration, n int, body string) scriptedResponse {
 			if n == 1 {
-				return scriptedResponse{status: http.StatusServiceUnavailable, notRun: true, backoff: time.Minute}
+				return scriptedResponse{status: http.StatusServiceUnavailable, notExecuted: true, backoff: time.Minute}
 			}
 			return served(since, n, body)
 		}, served}, func(is *is.I, f *backoffFleet) {
@@ -468,12 +468,12 @@
 	return m.received
 }
 
-// TestRefusalWithoutRest guards against a rest that no target asked for when it turned requests away.
-func TestRefusalWithoutRest(t *testing.T) {
+// TestRefusalWithoutBackoff guards against a rest that no target asked for when it turned requests away.
+func TestRefusalWithoutBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newBackoffFleet(t, 1, func(time.Duration, int, string) scriptedResponse {
-			return scriptedResponse{status: http.StatusServiceUnavailable, notRun: true}
+			return scriptedResponse{status: http.StatusServiceUnavailable, notExecuted: true}
 		}, served)
 		defer f.end()
 		f.sendLoad(pathSafe, 20*time.Millisecond, 3*time.Second)
@@ -483,13 +483,13 @@
 	})
 }
 
-// TestRestIsAskedOfOneInstance guards against a rest given by those not asked for it, and not by the one that was.
-func TestRestIsAskedOfOneInstance(t *testing.T) {
+// TestRequestedBackoffIsPerInstance guards against a rest given by those not asked for it, and not by the one that was.
+func TestRequestedBackoffIsPerInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newBackoffFleet(t, 2, func(since time.Duration, n int, body string) scriptedResponse {
 			if n == 1 {
-				return scriptedResponse{status: http.StatusServiceUnavailable, notRun: true, backoff: 5 * time.Second}
+				return scriptedResponse{status: http.StatusServiceUnavailable, notExecuted: true, backoff: 5 * time.Second}
 			}
 			return served(since, n, body)
 		})
@@ -512,8 +512,8 @@
 	return Report{}, &CallError{Call: "report", Status: http.StatusServiceUnavailable, Notice: Notice{Backoff: e.backoff}}
 }
 
-// TestReportAsksForRest guards against requests to a target that refused a report and asked for rest then.
-func TestReportAsksForRest(t *testing.T) {
+// TestReportRequestsBackoff guards against requests to a target that refused a report and asked for rest then.
+func TestReportRequestsBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newBackoffFleet(t, 1, served)
@@ -531,8 +531,8 @@
 	})
 }
 
-// TestRestOfMost guards against a refusal while a few targets of many, not the first considered, ask for no rest.
-func TestRestOfMost(t *testing.T) {
+// TestRequestedBackoffOfMostTargets guards against a refusal while a few targets of many, not the first considered, ask for no rest.
+func TestRequestedBackoffOfMostTargets(t *testing.T) {
 	const targets, others = 4 * maxCandidates, 2
 	for status, script := range map[int]responseScript{http.StatusOK: served, http.StatusInternalServerError: failEvery(1)} {
 		t.Run(http.StatusText(status), func(t *testing.T) {
@@ -563,8 +563,8 @@
 	return slices.ContainsFunc(f.gateways[0].view.Load().Candidates["s"], func(t *catalog.Target) bool { return t.Name == name })
 }
 
-// TestRestLines guards against a log that says nothing of a wish for rest, or a line for each refusal.
-func TestRestLines(t *testing.T) {
+// TestRequestedBackoffIsLogged guards against a log that says nothing of a wish for rest, or a line for each refusal.
+func TestRequestedBackoffIsLogged(t *testing.T) {
 	is := is.New(t)
 	now, lines := time.Unix(0, 0), memory.New()
 	clock := func() time.Time { return now }
--- a/internal/gateway/blackholed_watchers_test.go
+++ b/internal/gateway/blackholed_watchers_test.go
@@ -14,8 +14,8 @@
 // peer that does, so long after it was acknowledged.
 const propagationBound = 3 * time.Second
 
-// TestBlindWatchers guards against changes that come late since the store is silent to all that watch it.
-func TestBlindWatchers(t *testing.T) {
+// TestBlackholedWatchers guards against changes that come late since the store is silent to all that watch it.
+func TestBlackholedWatchers(t *testing.T) {
 	for _, n := range []int{60, 91} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newMemoryFleet(t, n, 4)
--- a/internal/gateway/cache.go
+++ b/internal/gateway/cache.go
@@ -57,7 +57,7 @@
 type cacheDirectory struct {
 	g *Gateway
 
-	process uint64 // tells this process's numbers from those of one before
+	processID uint64 // tells this process's numbers from those of one before
 
 	mu            sync.Mutex
 	inventories   map[string]*storeInventory // by address
@@ -84,7 +84,7 @@
 }
 
 func newCacheDirectory(g *Gateway) *cacheDirectory {
-	return &cacheDirectory{g: g, process: rand.Uint64(), inventories: map[string]*storeInventory{}, recentSaves: map[stock.Key]time.Time{}}
+	return &cacheDirectory{g: g, processID: rand.Uint64(), inventories: map[string]*storeInventory{}, recentSaves: map[stock.Key]time.Time{}}
 }
 
 // run keeps the inventories of the stores that the configuration names, until ctx ends.
--- a/internal/gateway/config_sync_test.go
+++ b/internal/gateway/config_sync_test.go
@@ -10,9 +10,9 @@
 	"github.com/shedhoist/shedhoist/internal/core/member"
 )
 
-// TestTakers: few instances take a configuration at a time, and one that stops on the way
+// TestThrottlesConfigReceivers: few instances take a configuration at a time, and one that stops on the way
 // does not keep its place.
-func TestTakers(t *testing.T) {
+func TestThrottlesConfigReceivers(t *testing.T) {
 	is := is.New(t)
 	var own configReceivers
 	for _, name := range []string{"a", "b", "c", "d"} {
@@ -26,9 +26,9 @@
 	is.True(own.admit("f", false, at0.Add(peerTimeout+time.Millisecond))) // b, c and d gave up
 }
 
-// TestConfigPart: pieces of one version are joined, whoever they come from; those of another
+// TestConfigChunks: pieces of one version are joined, whoever they come from; those of another
 // version never are.
-func TestConfigPart(t *testing.T) {
+func TestConfigChunks(t *testing.T) {
 	is := is.New(t)
 	var part partialConfig
 	five, six := ConfigRef{Version: 5, Bytes: 4}, ConfigRef{Version: 6, Bytes: 3}
@@ -43,9 +43,9 @@
 	is.True((&partialConfig{}).add(ConfigReply{Ref: five, Chunk: []byte("abcd")})) // all at once
 }
 
-// TestWord: the word of a long configuration goes on before the document is here; that of a
+// TestWhichConfigRefIsReported: the word of a long configuration goes on before the document is here; that of a
 // short one comes with it.
-func TestWord(t *testing.T) {
+func TestWhichConfigRefIsReported(t *testing.T) {
 	is := is.New(t)
 	c := controlOf("e-1", "z0")
 	c.now = func() time.Time { return at0 }
--- a/internal/gateway/control_test.go
+++ b/internal/gateway/control_test.go
@@ -18,8 +18,8 @@
 
 var at0 = time.Unix(1000, 0)
 
-// TestNamed: how long a version has been behind counts from the first newer one.
-func TestNamed(t *testing.T) {
+// TestNamedVersionsOutdatedFor: how long a version has been behind counts from the first newer one.
+func TestNamedVersionsOutdatedFor(t *testing.T) {
 	is := is.New(t)
 	var n NamedVersions
 	n = n.withVersion(namedVersion{version: 2, learnedAt: at0}).withVersion(namedVersion{version: 3, learnedAt: at0.Add(4 * time.Second)})
@@ -29,8 +29,8 @@
 	is.Equal(n.outdatedFor(3, now), time.Duration(0))
 }
 
-// TestConfigNeverBack: an older version of the configuration changes nothing.
-func TestConfigNeverBack(t *testing.T) {
+// TestConfigVersionNeverDecreases: an older version of the configuration changes nothing.
+func TestConfigVersionNeverDecreases(t *testing.T) {
 	is := is.New(t)
 	c := &controlState{log: &log.Logger{Handler: discard.Default}, now: func() time.Time { return at0 }}
 	newer, older := catalog.NewConfig(catalog.Draft{Version: 7}), catalog.NewConfig(catalog.Draft{Version: 5})
@@ -50,9 +50,9 @@
 	is.Equal(len(seen), len(alive))
 }
 
-// TestDeparted: a target that left the list counts as serving its weights for as
+// TestDepartedTargetStillCounts: a target that left the list counts as serving its weights for as
 // long as others may hold on to it.
-func TestDeparted(t *testing.T) {
+func TestDepartedTargetStillCounts(t *testing.T) {
 	is := is.New(t)
 	tt := newTargetTable(&log.Logger{Handler: discard.Default}, "e")
 	newer := entry("b", 2)
@@ -64,9 +64,9 @@
 	is.Equal(oldestServed(v, at0.Add(departedTTL))["m"], uint64(2))
 }
 
-// TestNewProcess: a process that starts late in a rollout does not take the
+// TestNewProcessAssumesVersionAge: a process that starts late in a rollout does not take the
 // version it finds for a new one, and believes a peer that knows its age.
-func TestNewProcess(t *testing.T) {
+func TestNewProcessAssumesVersionAge(t *testing.T) {
 	is := is.New(t)
 	now := at0
 	c := &controlState{log: &log.Logger{Handler: discard.Default}, now: func() time.Time { return now }, named: map[string]NamedVersions{}, rolloutWithin: 10 * time.Second}
--- a/internal/gateway/crash_detector_test.go
+++ b/internal/gateway/crash_detector_test.go
@@ -10,9 +10,9 @@
 	"github.com/matryer/is"
 )
 
-// TestCrashedTargetsAreLeftOut: an instance that has found that targets crashed sends to the
+// TestCrashedTargetsAreExcluded: an instance that has found that targets crashed sends to the
 // others, and refuses nobody because it met one crashed target after the other.
-func TestCrashedTargetsAreLeftOut(t *testing.T) {
+func TestCrashedTargetsAreExcluded(t *testing.T) {
 	const targets, crashed, requests = 12, 9, 20
 	for name, runs := range map[string]int{"one request each broke": 1, "several broke": 8} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -69,8 +69,8 @@
 	Parts    []PartUpdate `cbor:"6,keyasint,omitempty"` // in order
 	// Ages has how long each of Parts has been complete, see encodeAge.
 	Ages []byte `cbor:"7,keyasint,omitempty"`
-	// BehindMS is how much longer ago than AgeMS the teller's knowledge was whole.
-	BehindMS int64 `cbor:"8,keyasint,omitempty"`
+	// CompleteLagMS is how much longer ago than AgeMS the teller's knowledge was whole.
+	CompleteLagMS int64 `cbor:"8,keyasint,omitempty"`
 }
 
 // ageStep is the granule of ages, which are rounded down: one byte tells up to 4 s.
@@ -99,7 +99,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.g.now()
-	out := DirectoryReply{Process: c.process, Seq: c.journal.Seq()}
+	out := DirectoryReply{Process: c.processID, Seq: c.journal.Seq()}
 	if !c.serverClockAt.IsZero() {
 		out.ClockMS = c.serverClock + float64(now.Sub(c.serverClockAt))/float64(time.Millisecond)
 	}
@@ -110,8 +110,8 @@
 			continue
 		}
 		events, whole := c.journal.Since(address, ask.Seq)
-		n := StoreUpdate{Address: address, Epoch: epoch, AgeMS: now.Sub(sh.AsOf()).Milliseconds() + 1, BehindMS: sh.AsOf().Sub(sh.Whole()).Milliseconds(),
-			Complete: whole || ask.Process != c.process || !slices.Contains(ask.Stores, address)}
+		n := StoreUpdate{Address: address, Epoch: epoch, AgeMS: now.Sub(sh.AsOf()).Milliseconds() + 1, CompleteLagMS: sh.AsOf().Sub(sh.Whole()).Milliseconds(),
+			Complete: whole || ask.Process != c.processID || !slices.Contains(ask.Stores, address)}
 		if n.Complete {
 			held := sh.All()
 			if listed > 0 && listed+len(held) > maxListedParts {
@@ -262,7 +262,7 @@
 	now := c.g.now()
 	events := n.unpack(now)
 	asOf := started.Add(-time.Duration(n.AgeMS) * time.Millisecond)
-	w := stock.Answer{Epoch: n.Epoch, AsOf: asOf, Whole: asOf.Add(-time.Duration(n.BehindMS) * time.Millisecond), Heard: now}
+	w := stock.Answer{Epoch: n.Epoch, AsOf: asOf, Whole: asOf.Add(-time.Duration(n.CompleteLagMS) * time.Millisecond), Heard: now}
 	if !n.Complete {
 		ok := sh.Apply(w, false, events)
 		if ok {
--- a/internal/gateway/directory_test.go
+++ b/internal/gateway/directory_test.go
@@ -22,8 +22,8 @@
 	return out
 }
 
-// TestTree guards against many followers of stores, many askers of one, ways across zones and long ways.
-func TestTree(t *testing.T) {
+// TestTreeShape guards against many followers of stores, many askers of one, ways across zones and long ways.
+func TestTreeShape(t *testing.T) {
 	for _, c := range []struct{ n, zones, depth int }{{1, 1, 0}, {9, 3, 0}, {16, 3, 0}, {17, 3, 1}, {59, 3, 1}, {91, 4, 1}, {300, 3, 2}, {330, 7, 2}, {1000, 3, 3}} {
 		t.Run(fmt.Sprintf("%d in %d", c.n, c.zones), func(t *testing.T) {
 			is := is.New(t)
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestLastOneLeaves: an instance that stops knows of no live member, not even itself.
-func TestLastOneLeaves(t *testing.T) {
+// TestLastInstanceLeaves: an instance that stops knows of no live member, not even itself.
+func TestLastInstanceLeaves(t *testing.T) {
 	is := is.New(t)
 	self := member.Member{Name: "a", Address: "10.0.0.1:1", Zone: "z", Incarnation: 1}
 	c := controlOf(self.Name, self.Zone)
@@ -69,9 +69,9 @@
 	is.True(v.Tree.position().polls)
 }
 
-// TestStoreNews: changes come out as they were put in; a part that names no salt
+// TestStoreUpdates: changes come out as they were put in; a part that names no salt
 // is left out.
-func TestStoreNews(t *testing.T) {
+func TestStoreUpdates(t *testing.T) {
 	is := is.New(t)
 	in := []stock.Event{
 		{Key: stock.Key{Salt: "s1", Part: "a"}, Added: true, Tokens: 100},
@@ -94,9 +94,9 @@
 	return newCacheDirectory(&Gateway{log: &log.Logger{Handler: discard.Default}, now: func() time.Time { return *now }})
 }
 
-// TestDirectoryByParts: an instance that knows nothing is told all stores in answers of
+// TestDirectoryInPages: an instance that knows nothing is told all stores in answers of
 // bounded size, one after the other; what changes meanwhile reaches it as well.
-func TestDirectoryByParts(t *testing.T) {
+func TestDirectoryInPages(t *testing.T) {
 	is := is.New(t)
 	now := at0
 	teller, asker := directoryOf(&now), directoryOf(&now)
@@ -139,9 +139,9 @@
 	is.True(!teller.directoryFor(ask).More)
 }
 
-// TestAgesAreTold guards against a part that is taken for older by those who hear of it from another
+// TestAgesAreReported guards against a part that is taken for older by those who hear of it from another
 // instance than by the one that heard of it first.
-func TestAgesAreTold(t *testing.T) {
+func TestAgesAreReported(t *testing.T) {
 	is := is.New(t)
 	const way = 30 * time.Millisecond
 	for _, age := range []time.Duration{-listLead, 0, 7 * time.Millisecond, time.Second, time.Hour} {
@@ -154,9 +154,9 @@
 	}
 }
 
-// TestPolledAt guards against a word that is taken for younger than it is: an answer that was
+// TestPollValidAt guards against a word that is taken for younger than it is: an answer that was
 // held up on its way may be as old as its question.
-func TestPolledAt(t *testing.T) {
+func TestPollValidAt(t *testing.T) {
 	is := is.New(t)
 	is.Equal(pollValidAt(at0, at0.Add(time.Minute), 1), at0)
 	is.Equal(pollValidAt(at0, at0.Add(storePollWait/2), 0), at0) // the store did not wait
--- a/internal/gateway/evacuations_test.go
+++ b/internal/gateway/evacuations_test.go
@@ -35,7 +35,7 @@
 	seen map[string]int
 }
 
-func (a *arrivalLog) note(m *memoryTarget, _ *http.Request) {
+func (a *arrivalLog) record(m *memoryTarget, _ *http.Request) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.last[m.zone] = time.Now()
@@ -67,14 +67,14 @@
 func newEvacuatedFleet(t *testing.T, n int) *evacuatedFleet {
 	a := &arrivalLog{last: map[string]time.Time{}, seen: map[string]int{}}
 	f := &evacuatedFleet{arrivals: a, stopped: make(chan struct{})}
-	f.trafficFleet = newFleetWith(t, n, 3, 9, fleetOptions{codec: evacuationCodec{}, arrived: a.note,
+	f.trafficFleet = newFleetWith(t, n, 3, 9, fleetOptions{codec: evacuationCodec{}, arrived: a.record,
 		edit: func(s *Settings) { s.EvacuateWithin = evacuateBound }})
 	f.records.Store(int32(n))
 	return f
 }
 
-// join starts one more instance, which callers use at once.
-func (f *evacuatedFleet) join() int {
+// addInstance starts one more instance, which callers use at once.
+func (f *evacuatedFleet) addInstance() int {
 	i := f.trafficFleet.addInstance()
 	f.records.Add(1)
 	return i
@@ -147,8 +147,8 @@
 			f.isolate([]int{3, 4}, true)
 			time.AfterFunc(3*time.Second, func() { f.isolate([]int{3, 4}, false) })
 		}, nil},
-		{"an instance starts meanwhile", 9, evacuateAim, nil, func(f *evacuatedFleet) { time.Sleep(evacuateAim); f.join() }},
-		{"an instance starts, and only peers can tell it", 9, evacuateAim, nil, func(f *evacuatedFleet) { time.Sleep(evacuateAim); f.storeClients[f.join()].setSilent(true) }},
+		{"an instance starts meanwhile", 9, evacuateAim, nil, func(f *evacuatedFleet) { time.Sleep(evacuateAim); f.addInstance() }},
+		{"an instance starts, and only peers can tell it", 9, evacuateAim, nil, func(f *evacuatedFleet) { time.Sleep(evacuateAim); f.storeClients[f.addInstance()].setSilent(true) }},
 		{"taken back and evacuated again", 9, evacuateAim, nil, func(f *evacuatedFleet) {
 			for range 4 {
 				f.release(zone)
@@ -242,8 +242,8 @@
 	})
 }
 
-// TestEvacuatedWhileBodyComes guards against a request with a slow body that goes by what was known at its arrival.
-func TestEvacuatedWhileBodyComes(t *testing.T) {
+// TestEvacuatedWhileBodyArrives guards against a request with a slow body that goes by what was known at its arrival.
+func TestEvacuatedWhileBodyArrives(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newEvacuatedFleet(t, 3)
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -49,10 +49,10 @@
 	promptWork    promptWork              // what the attempt asks of its target
 	plan          cachePlan
 
-	keyCache         *quarantine.Key      // see alike
+	keyCache         *quarantine.Key      // see quarantineKey
 	unreachableZones map[string]bool      // zones that are silent, as of this attempt
 	backoffUntil     map[string]time.Time // ends of the rests that targets ask for, as of this attempt
-	warmupSlotHeld   bool                 // it holds a place at a cold target, see cold.go
+	warmupSlotHeld   bool                 // it holds a place at a cold target, see warmup.go
 	isTrial          bool                 // it is let through to try whether its quarantine is right
 	quarantineState  *quarantine.State    // what it was rejected for
 	decision         place.Decision       // the one that refused the request
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -101,7 +101,7 @@
 	suspectsUnsaved atomic.Bool  // the object store is to be told
 	lastCompared    atomic.Int64 // when they were last compared with a peer's, ns after began
 	warmup          cold.Gate    // what is sent to cold targets
-	zones           zoneMonitor  // zones that are silent as a whole
+	zoneMonitor     zoneMonitor  // zones that are silent as a whole
 	breaker         *breaker.Set // targets whose requests fail
 	retryBudgets    retryBudgets
 	// predictor is shared by all requests.
@@ -134,7 +134,7 @@
 	g.ctx, g.cancel = context.WithCancel(context.Background())
 	g.upstream = newUpstreamWithDial(ports.Dial)
 	g.quarantine, g.suspectsDue, g.outboxDue = quarantine.NewBook(), wait.NewSignal(), wait.NewSignal()
-	g.zones.g, g.zones.waiting = g, map[string]map[*attemptState]func(){}
+	g.zoneMonitor.g, g.zoneMonitor.waiting = g, map[string]map[*attemptState]func(){}
 	g.crashDetector = &crashDetector{g: g, checks: map[string]*crashCheck{}}
 	g.breaker = breaker.New(g.now)
 	g.predictor = place.NewPredictor()
@@ -170,9 +170,9 @@
 
 // Bounds of the callers' listener that hold whatever the configuration says.
 const (
-	headerTimeout = 10 * time.Second
-	idleTimeout   = 120 * time.Second // above any idle limit that callers are told
-	maxHeader     = 64 << 10          // bytes
+	headerTimeout  = 10 * time.Second
+	idleTimeout    = 120 * time.Second // above any idle limit that callers are told
+	maxHeaderBytes = 64 << 10          // bytes
 )
 
 func (g *Gateway) listen(open func(address string) (net.Listener, error), dial peer.Dial) error {
@@ -197,7 +197,7 @@
 	quiet := logline.Logger(g.log)
 	idle := &idleConns{limit: g.idleLimit}
 	g.callerSrv = &http.Server{Handler: http.HandlerFunc(g.serveCaller), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
-		MaxHeaderBytes: maxHeader, ErrorLog: quiet, ConnState: idle.state}
+		MaxHeaderBytes: maxHeaderBytes, ErrorLog: quiet, ConnState: idle.state}
 	g.callerConns.Attach(g.callerSrv)
 	g.readySrv = &http.Server{Handler: http.HandlerFunc(g.serveReady), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ErrorLog: quiet}
 	g.metricsSrv = &http.Server{Handler: http.HandlerFunc(g.serveMetrics), ReadHeaderTimeout: headerTimeout, ErrorLog: quiet}
--- a/internal/gateway/idle_conns_test.go
+++ b/internal/gateway/idle_conns_test.go
@@ -44,8 +44,8 @@
 	})
 }
 
-// TestLearnKept guards against connections kept for longer than targets keep theirs, or closed without need.
-func TestLearnKept(t *testing.T) {
+// TestLearnKeepAlive guards against connections kept for longer than targets keep theirs, or closed without need.
+func TestLearnKeepAlive(t *testing.T) {
 	is := is.New(t)
 	u := newUpstream()
 	idle := func(service string) time.Duration {
--- a/internal/gateway/lease.go
+++ b/internal/gateway/lease.go
@@ -14,7 +14,7 @@
 // leaseParams make a contender take over from a holder that died within 1.4 s; a
 // holder acts for 600 ms after a write of the lease, which is a few calls. Two
 // holders are then 800 ms apart at least. Targets that the first one may have
-// given orders to are left alone for longer, see fence.
+// given orders to are left alone for longer, see handoverGuard.
 var leaseParams = order.Params{Term: time.Second, Margin: 400 * time.Millisecond, Renew: 250 * time.Millisecond}
 
 // leaseValue is the lease's object.
--- a/internal/gateway/lease_test.go
+++ b/internal/gateway/lease_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// TestFence: a new holder leaves alone the targets that the one before closed, or
+// TestFormerHoldersTargetsAreGuarded: a new holder leaves alone the targets that the one before closed, or
 // all if that is not known, until its orders are old enough.
-func TestFence(t *testing.T) {
+func TestFormerHoldersTargetsAreGuarded(t *testing.T) {
 	is := is.New(t)
 	last, gap := time.Unix(100, 0), 3*time.Second
 	early, late := last.Add(gap-time.Millisecond), last.Add(gap)
--- a/internal/gateway/leaving_hello_test.go
+++ b/internal/gateway/leaving_hello_test.go
@@ -8,9 +8,9 @@
 	"github.com/shedhoist/shedhoist/internal/core/member"
 )
 
-// TestLeavingIsToldBothWays guards against a word of leaving that a peer with nothing to tell
+// TestLeavingIsReportedBothWays guards against a word of leaving that a peer with nothing to tell
 // itself does not hear: the probes of an instance and its answers to probes name it.
-func TestLeavingIsToldBothWays(t *testing.T) {
+func TestLeavingIsReportedBothWays(t *testing.T) {
 	is := is.New(t)
 	c, lives := controlWithLeaving(3)
 	targetLeaving{incarnation: lives[1]}.apply(c)
--- a/internal/gateway/leaving_incarnations_test.go
+++ b/internal/gateway/leaving_incarnations_test.go
@@ -15,9 +15,9 @@
 	"github.com/shedhoist/shedhoist/internal/registry"
 )
 
-// TestWordBeforeItsEntry guards against the word of a life whose entry had not come yet being lost
+// TestWhenNoticePrecedesEntry guards against the word of a life whose entry had not come yet being lost
 // when that comes, and against a life that has said nothing being left out for the one before.
-func TestWordBeforeItsEntry(t *testing.T) {
+func TestWhenNoticePrecedesEntry(t *testing.T) {
 	cases := []struct {
 		name        string
 		before, new bool          // what the life before says, and the new one
@@ -75,15 +75,15 @@
 	}
 }
 
-// TestRestBeforeItsEntry guards against the rest that a life asked for before its entry came being
+// TestRequestedBackoffBeforeEntry guards against the rest that a life asked for before its entry came being
 // cut short when that comes, and against one that the life before asked for.
-func TestRestBeforeItsEntry(t *testing.T) {
+func TestRequestedBackoffBeforeEntry(t *testing.T) {
 	const (
 		every = 20 * time.Millisecond
 		rest  = 20 * time.Second
 	)
 	asks := func(time.Duration, int, string) scriptedResponse {
-		return scriptedResponse{status: http.StatusServiceUnavailable, notRun: true, backoff: rest}
+		return scriptedResponse{status: http.StatusServiceUnavailable, notExecuted: true, backoff: rest}
 	}
 	for name, scripts := range map[string][2]responseScript{ // of the life before, and of the new one
 		"the new life asks for it":     {served, asks},
@@ -116,9 +116,9 @@
 	}
 }
 
-// TestRestOfTheLifeThatAnswers guards against a rest being noted of a life that is over where its
+// TestRequestedBackoffOfRespondingIncarnation guards against a rest being noted of a life that is over where its
 // next one, which has just been listed, gave the answer.
-func TestRestOfTheLifeThatAnswers(t *testing.T) {
+func TestRequestedBackoffOfRespondingIncarnation(t *testing.T) {
 	const before, next = 10_000, 20_000 // starts, Unix ms
 	for sent, want := range map[int64]string{15_000: "i-1@10000", 25_000: "i-1@20000"} {
 		is := is.New(t)
@@ -132,9 +132,9 @@
 	}
 }
 
-// TestOwnWordAfterInherited guards against a life's own word that it leaves being taken for the one it
+// TestOwnNoticeAfterInherited guards against a life's own word that it leaves being taken for the one it
 // has inherited, which ends by itself.
-func TestOwnWordAfterInherited(t *testing.T) {
+func TestOwnNoticeAfterInherited(t *testing.T) {
 	for name, own := range map[string]func(sent time.Time) registry.Teller{
 		"in a report": func(time.Time) registry.Teller { return registry.Teller{From: string(fromReport)} },
 		"in an answer": func(sent time.Time) registry.Teller {
@@ -161,9 +161,9 @@
 	}
 }
 
-// TestInheritedRestEnds guards against a healthy life that rests for long since clocks have it inherit
+// TestInheritedBackoffEnds guards against a healthy life that rests for long since clocks have it inherit
 // the rest of the life before.
-func TestInheritedRestEnds(t *testing.T) {
+func TestInheritedBackoffEnds(t *testing.T) {
 	const before, next = 10_000, 20_000 // starts, Unix ms
 	is := is.New(t)
 	clock := func() time.Time { return time.UnixMilli(30_000) }
--- a/internal/gateway/leaving_pages_test.go
+++ b/internal/gateway/leaving_pages_test.go
@@ -9,8 +9,8 @@
 	"github.com/shedhoist/shedhoist/internal/registry"
 )
 
-// TestEachPeerHearsOfAllLeavers guards against peers that are told in turn and each hear of a part of the lives that leave.
-func TestEachPeerHearsOfAllLeavers(t *testing.T) {
+// TestEachPeerReceivesAllLeavingTargets guards against peers that are told in turn and each hear of a part of the lives that leave.
+func TestEachPeerReceivesAllLeavingTargets(t *testing.T) {
 	const leavers, messages = 5 * maxLeavingTargets / 2, 3
 	tell := map[string]func(c *controlState, peer string) LeavingTargets{
 		"answers": func(c *controlState, peer string) LeavingTargets {
--- a/internal/gateway/leaving_reports_test.go
+++ b/internal/gateway/leaving_reports_test.go
@@ -33,9 +33,9 @@
 
 func reportsUntilRepeat(name string) member.Member { return member.Member{Name: name} }
 
-// TestLeavingToldInTurns guards against messages that grow with the targets that leave, and
+// TestLeavingIsReportedInPages guards against messages that grow with the targets that leave, and
 // against words that are never told.
-func TestLeavingToldInTurns(t *testing.T) {
+func TestLeavingIsReportedInPages(t *testing.T) {
 	is := is.New(t)
 	c, lives := controlWithLeaving(600)
 	is.Equal(len(c.reportLeaving()), 0)
@@ -55,9 +55,9 @@
 	is.Equal(c.reportLeaving()[0], lives[500]) // what is new goes first
 }
 
-// TestLeavingGoesRoundOnce guards against words that go to and fro: what a peer tells is news
+// TestLeavingIsRelayedOnce guards against words that go to and fro: what a peer tells is news
 // once, and a word from everybody changes nothing more.
-func TestLeavingGoesRoundOnce(t *testing.T) {
+func TestLeavingIsRelayedOnce(t *testing.T) {
 	is := is.New(t)
 	lines := memory.New()
 	a, lives := controlWithLeaving(3)
@@ -81,9 +81,9 @@
 	is.Equal(line.Fields["by"], "e-a")
 }
 
-// TestLeavingIsSpread guards against a word that waits for the next probe: whoever heard it itself
+// TestLeavingIsGossiped guards against a word that waits for the next probe: whoever heard it itself
 // tells it as one that knows first.
-func TestLeavingIsSpread(t *testing.T) {
+func TestLeavingIsGossiped(t *testing.T) {
 	is := is.New(t)
 	c, lives := controlWithLeaving(3)
 	v, old := &View{}, c.updateMark() // it is no watcher
@@ -100,9 +100,9 @@
 	is.True(!c.pendingUpdates.changed && !c.pendingUpdates.firstSource)
 }
 
-// TestLeaverGetsNoOrders guards against loads of weights at a target that has said that it leaves,
+// TestLeavingTargetGetsNoOrders guards against loads of weights at a target that has said that it leaves,
 // and against its zone being looked at there.
-func TestLeaverGetsNoOrders(t *testing.T) {
+func TestLeavingTargetGetsNoOrders(t *testing.T) {
 	is := is.New(t)
 	c, lives := controlWithLeaving(3)
 	versionsNamed{revision: 1, changed: 1, versions: []catalog.ModelVersion{{Model: "m", Version: 2}}, from: fromStore}.apply(c)
@@ -115,9 +115,9 @@
 	is.True(v.Targets["i-0000"] != nil) // what runs there ends
 }
 
-// TestLeavingCostsNothing guards against work for each answer of a target that leaves: all of
+// TestLeavingNoticesAreCheap guards against work for each answer of a target that leaves: all of
 // them say so.
-func TestLeavingCostsNothing(t *testing.T) {
+func TestLeavingNoticesAreCheap(t *testing.T) {
 	is := is.New(t)
 	c, lives := controlWithLeaving(1)
 	g := &Gateway{events: make(chan event, 4)}
@@ -133,9 +133,9 @@
 	is.Equal(len(g.events), 1)
 }
 
-// TestOwnWordBesideTheEntry guards against a target's own word being passed over since its entry
+// TestOwnNoticeBesideEntry guards against a target's own word being passed over since its entry
 // says the same: the entry may take it back.
-func TestOwnWordBesideTheEntry(t *testing.T) {
+func TestOwnNoticeBesideEntry(t *testing.T) {
 	is := is.New(t)
 	c, _ := controlWithLeaving(1)
 	draining := targetsOf(1, 3)
@@ -153,9 +153,9 @@
 	is.Equal(len(c.buildView().Serving["s"]), 0)
 }
 
-// TestUnreadableLeavers guards against a word that can't be read taking others, or its message,
+// TestUnreadableLeavingTargets guards against a word that can't be read taking others, or its message,
 // along.
-func TestUnreadableLeavers(t *testing.T) {
+func TestUnreadableLeavingTargets(t *testing.T) {
 	is := is.New(t)
 	good := registry.Life{Name: "i-1", Start: 7}
 	for name, words := range map[string]any{
@@ -183,8 +183,8 @@
 // maxLeavingBytes is what the words on targets that leave may cost a message.
 const maxLeavingBytes = 600
 
-// TestLeaversAreShort guards against control messages that grow beyond what an instance may spend.
-func TestLeaversAreShort(t *testing.T) {
+// TestLeavingTargetsAreBounded guards against control messages that grow beyond what an instance may spend.
+func TestLeavingTargetsAreBounded(t *testing.T) {
 	is := is.New(t)
 	var words LeavingTargets
 	for i := range maxLeavingTargets {
@@ -200,8 +200,8 @@
 	is.Equal(h.Leaving, words)
 }
 
-// FuzzLeavers: whatever stands there, the rest of the message is read, and the words are few.
-func FuzzLeavers(f *testing.F) {
+// FuzzLeavingTargets: whatever stands there, the rest of the message is read, and the words are few.
+func FuzzLeavingTargets(f *testing.F) {
 	for _, words := range []any{"x", []any{registry.Life{Name: "i-1", Start: 7}}, []any{1, nil}} {
 		data, err := cbor.Marshal(words)
 		if err != nil {
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -319,8 +319,8 @@
 	}
 }
 
-// TestLeavesByItsOwnWord guards against requests to a target that has said that it leaves, whatever its entry says.
-func TestLeavesByItsOwnWord(t *testing.T) {
+// TestLeavingByOwnNotice guards against requests to a target that has said that it leaves, whatever its entry says.
+func TestLeavingByOwnNotice(t *testing.T) {
 	const every = 5 * time.Millisecond
 	silent := func(f *leavingFleet) { f.silenceStore(true) }
 	cases := []struct {
@@ -416,8 +416,8 @@
 	}
 }
 
-// TestLeavesByPeersWord guards against requests to a target that has said that it leaves to another instance only.
-func TestLeavesByPeersWord(t *testing.T) {
+// TestLeavingByPeerReport guards against requests to a target that has said that it leaves to another instance only.
+func TestLeavingByPeerReport(t *testing.T) {
 	onlyPeers := func(f *leavingFleet) { f.storeClients[f.addInstance()].setSilent(true) }
 	cases := []struct {
 		name   string
@@ -458,8 +458,8 @@
 	}
 }
 
-// TestLeavesAfterRestart guards against instances that have just started going on after the first such answer.
-func TestLeavesAfterRestart(t *testing.T) {
+// TestLeavingAfterInstanceRestart guards against instances that have just started going on after the first such answer.
+func TestLeavingAfterInstanceRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newLeavingFleet(t, 3, 3)
@@ -474,8 +474,8 @@
 	})
 }
 
-// TestNewLifeOfALeaver guards against a target's next life being left out for what the one before said.
-func TestNewLifeOfALeaver(t *testing.T) {
+// TestNewIncarnationAfterLeaving guards against a target's next life being left out for what the one before said.
+func TestNewIncarnationAfterLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newLeavingFleet(t, 3, 3)
@@ -494,8 +494,8 @@
 	})
 }
 
-// TestWordOfAnotherAnswer guards against a target being left out for good by another request's answer.
-func TestWordOfAnotherAnswer(t *testing.T) {
+// TestWrongResponseCarriesNotice guards against a target being left out for good by another request's answer.
+func TestWrongResponseCarriesNotice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newLeavingFleet(t, 1, 2)
@@ -515,8 +515,8 @@
 	})
 }
 
-// TestLeavesNoTarget guards against requests that wait, or run, where all targets have said that they leave.
-func TestLeavesNoTarget(t *testing.T) {
+// TestLeavingOfAllTargets guards against requests that wait, or run, where all targets have said that they leave.
+func TestLeavingOfAllTargets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newLeavingFleet(t, 3, 3)
@@ -551,8 +551,8 @@
 	})
 }
 
-// TestStreamAtALeaver guards against a stream being cut as its target says that it leaves.
-func TestStreamAtALeaver(t *testing.T) {
+// TestStreamAtLeavingTarget guards against a stream being cut as its target says that it leaves.
+func TestStreamAtLeavingTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newLeavingFleet(t, 3, 1)
@@ -571,8 +571,8 @@
 	})
 }
 
-// TestLeavesAsAnnounced guards against the end of a target that said that it leaves being taken for a crash.
-func TestLeavesAsAnnounced(t *testing.T) {
+// TestLeavingIsNoCrash guards against the end of a target that said that it leaves being taken for a crash.
+func TestLeavingIsNoCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newLeavingFleet(t, 3, 3)
@@ -613,8 +613,8 @@
 	return Report{Start: e.startedAt, Models: []catalog.ModelVersion{{Model: "m", Version: 1}}, Notice: Notice{Leaving: true}}, nil
 }
 
-// TestLeavesByItsReport guards against requests, and loads, for a target whose report says that it leaves.
-func TestLeavesByItsReport(t *testing.T) {
+// TestLeavingByOwnReport guards against requests, and loads, for a target whose report says that it leaves.
+func TestLeavingByOwnReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newLeavingFleet(t, 3, 3)
@@ -631,8 +631,8 @@
 	})
 }
 
-// TestReportOfAnotherLife guards against a target being left out for what another of its lives reports.
-func TestReportOfAnotherLife(t *testing.T) {
+// TestReportOfAnotherIncarnation guards against a target being left out for what another of its lives reports.
+func TestReportOfAnotherIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newLeavingFleet(t, 1, 2)
--- a/internal/gateway/order_notices_test.go
+++ b/internal/gateway/order_notices_test.go
@@ -44,9 +44,9 @@
 	time.Sleep(time.Second)
 }
 
-// TestLeavesByItsAnswerToAnOrder guards against requests to a target that said in the answer to an
+// TestLeavingByOrderResponse guards against requests to a target that said in the answer to an
 // order that it leaves.
-func TestLeavesByItsAnswerToAnOrder(t *testing.T) {
+func TestLeavingByOrderResponse(t *testing.T) {
 	for _, status := range []int{http.StatusAccepted, http.StatusConflict, http.StatusServiceUnavailable} {
 		t.Run(http.StatusText(status), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestRestByItsAnswerToAnOrder guards against requests to a target that refused an order and asked
+// TestRequestedBackoffByOrderResponse guards against requests to a target that refused an order and asked
 // for rest then.
-func TestRestByItsAnswerToAnOrder(t *testing.T) {
+func TestRequestedBackoffByOrderResponse(t *testing.T) {
 	const rest = 2 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -78,9 +78,9 @@
 	})
 }
 
-// TestOrderAnsweredByTheNextLife guards against a target being left out for what its life before
+// TestOrderAnsweredByNextIncarnation guards against a target being left out for what its life before
 // answered to an order, and against a word being lost that the next life answered.
-func TestOrderAnsweredByTheNextLife(t *testing.T) {
+func TestOrderAnsweredByNextIncarnation(t *testing.T) {
 	for name, again := range map[string]time.Duration{"the life before answers": time.Second, "the next life answers": 0} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/gateway/peer_silences_test.go
+++ b/internal/gateway/peer_silences_test.go
@@ -27,9 +27,9 @@
 	is.Equal(got, map[loads.Key]int64{1: 700, 2: 600, 4: 800})
 }
 
-// TestHeardSpeaksAgainstSilence guards against saves that are kept back because another instance
+// TestHealthyResponseOverridesSilence guards against saves that are kept back because another instance
 // waits at a target from which this one has an answer since.
-func TestHeardSpeaksAgainstSilence(t *testing.T) {
+func TestHealthyResponseOverridesSilence(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	ago := func(d time.Duration) time.Time { return now.Add(-d) }
@@ -45,9 +45,9 @@
 	is.Equal(s.Among(ago(200*time.Millisecond), now), 300*time.Millisecond)
 }
 
-// TestOwnSilencesAreTold guards against a silence that is not told, and one that is told though
+// TestOwnSilencesAreReported guards against a silence that is not told, and one that is told though
 // its answer is not due yet.
-func TestOwnSilencesAreTold(t *testing.T) {
+func TestOwnSilencesAreReported(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	g := &Gateway{now: func() time.Time { return now }, upstream: newUpstream()}
@@ -56,9 +56,9 @@
 	is.Equal(g.ownSilentTargets(), []loads.Silent{{Target: loads.KeyOf("silent"), MS: silenceThreshold.Milliseconds()}})
 }
 
-// TestLateSavesAreRelayed guards against late saves that only the instances next to their teller
+// TestLongPendingSavesAreRelayed guards against late saves that only the instances next to their teller
 // hear of in a large fleet, and against words that return to their teller.
-func TestLateSavesAreRelayed(t *testing.T) {
+func TestLongPendingSavesAreRelayed(t *testing.T) {
 	is := is.New(t)
 	n := neighbour{relayedFrom: map[string]bool{"child": true}}
 	got := n.pendingSavesToReport([]loads.Key{1, 4}, map[string][]loads.Key{"child": {1, 2}, "parent": {3}})
@@ -66,9 +66,9 @@
 	is.Equal(got, []loads.Key{1, 2, 4})
 }
 
-// TestQueuesAreNoSilence guards against saves that all instances keep back at a busy target: some
+// TestQueuedRequestsAreNoSilence guards against saves that all instances keep back at a busy target: some
 // have waited in its queue for long, while it answers others.
-func TestQueuesAreNoSilence(t *testing.T) {
+func TestQueuedRequestsAreNoSilence(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	key := loads.KeyOf("t")
--- a/internal/gateway/peers_test.go
+++ b/internal/gateway/peers_test.go
@@ -68,9 +68,9 @@
 	return n
 }
 
-// TestStartTogether: of a fleet that starts at once, where all join by a seed that knows
+// TestSimultaneousStart: of a fleet that starts at once, where all join by a seed that knows
 // few yet, all know all within some probes, by few whole lists.
-func TestStartTogether(t *testing.T) {
+func TestSimultaneousStart(t *testing.T) {
 	for _, n := range []int{9, 91, 295} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			is := is.New(t)
--- a/internal/gateway/prompt_test.go
+++ b/internal/gateway/prompt_test.go
@@ -9,16 +9,16 @@
 	"github.com/shedhoist/shedhoist/internal/catalog"
 )
 
-// TestServiceGone: a target whose service the newest configuration no longer
+// TestServiceRemoved: a target whose service the newest configuration no longer
 // declares has no known links, and breaks nothing.
-func TestServiceGone(t *testing.T) {
+func TestServiceRemoved(t *testing.T) {
 	x := &exchange{view: &View{Config: catalog.NewConfig(catalog.Draft{})}}
 	src := partSource{store: &catalog.CacheStore{LinkMbps: 1000}, tokens: 100}
 	is.New(t).Equal(x.transferMS(src, &catalog.Target{Service: "gone"}), 0.0)
 }
 
-// TestUrgency guards against hurried or higher requests behind others, and ranks unknown to targets.
-func TestUrgency(t *testing.T) {
+// TestUrgencyRank guards against hurried or higher requests behind others, and ranks unknown to targets.
+func TestUrgencyRank(t *testing.T) {
 	start := time.Unix(0, 0)
 	cases := []struct {
 		name      string
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -66,7 +66,7 @@
 type SuspectsRequest struct {
 	From    string            `cbor:"1,keyasint"`
 	Reports []quarantine.Word `cbor:"2,keyasint,omitempty"`
-	All     bool              `cbor:"3,keyasint,omitempty"` // answer with all words of the receiver
+	WantAll bool              `cbor:"3,keyasint,omitempty"` // answer with all words of the receiver
 }
 
 // SuspectsReply is the answer to Suspects.
@@ -79,7 +79,7 @@
 func (h *peerHandler) Suspects(req *SuspectsRequest, out *SuspectsReply) error {
 	h.g.mergeSuspects(req.Reports, req.From)
 	out.From = h.g.settings().Name
-	if req.All {
+	if req.WantAll {
 		out.Reports = h.g.quarantine.Words(h.g.now())
 	}
 	return nil
@@ -149,7 +149,7 @@
 	if last != 0 && now-last < int64(compareInterval) || !g.lastCompared.CompareAndSwap(last, max(now, 1)) {
 		return
 	}
-	req := &SuspectsRequest{From: g.settings().Name, Reports: g.quarantine.Words(g.now()), All: true}
+	req := &SuspectsRequest{From: g.settings().Name, Reports: g.quarantine.Words(g.now()), WantAll: true}
 	g.spawn(func() { g.sendSuspects(m, req) })
 }
 
--- a/internal/gateway/quarantine_store.go
+++ b/internal/gateway/quarantine_store.go
@@ -23,13 +23,13 @@
 // storedSuspect is one request in the object. Times are Unix ms by the writer's clock: they
 // bound minutes.
 type storedSuspect struct {
-	Key      string           `json:"key"` // hexadecimal
-	Label    quarantine.Label `json:"label"`
-	Crashes  []storedCrash    `json:"crashes"`
-	Trials   int              `json:"trials,omitempty"`
-	Void     int              `json:"void,omitempty"`
-	LastTry  int64            `json:"lastTry,omitempty"`
-	Answered int64            `json:"answered,omitempty"` // whole, the last time; 0: never
+	Key         string           `json:"key"` // hexadecimal
+	Label       quarantine.Label `json:"label"`
+	Crashes     []storedCrash    `json:"crashes"`
+	Trials      int              `json:"trials,omitempty"`
+	VoidTrials  int              `json:"void,omitempty"`
+	LastTrial   int64            `json:"lastTry,omitempty"`
+	SucceededAt int64            `json:"answered,omitempty"` // whole, the last time; 0: never
 }
 
 // storedCrash is one crash. The target's life is in hexadecimal: a store may hold numbers as
@@ -49,15 +49,15 @@
 	v := storedSuspects{Requests: make([]storedSuspect, 0, len(words))}
 	ago := func(ms int64) int64 { return now.UnixMilli() - ms }
 	for _, w := range words {
-		s := storedSuspect{Key: w.Key.String(), Label: w.Label, Trials: w.Trials, Void: w.Void}
+		s := storedSuspect{Key: w.Key.String(), Label: w.Label, Trials: w.Trials, VoidTrials: w.Void}
 		for _, c := range w.Crashes {
 			s.Crashes = append(s.Crashes, storedCrash{Target: strconv.FormatUint(uint64(c.Life), 16), At: ago(c.Age)})
 		}
 		if w.Trials > 0 {
-			s.LastTry = ago(w.Tried)
+			s.LastTrial = ago(w.Tried)
 		}
 		if w.Answered >= 0 {
-			s.Answered = ago(w.Answered)
+			s.SucceededAt = ago(w.Answered)
 		}
 		v.Requests = append(v.Requests, s)
 	}
@@ -84,7 +84,7 @@
 
 // report is the entry as instances tell it; false: it can't be read.
 func (s storedSuspect) report(age func(at int64) int64) (quarantine.Word, bool) {
-	w := quarantine.Word{Label: s.Label, Trials: s.Trials, Void: s.Void, Tried: age(s.LastTry), Answered: -1}
+	w := quarantine.Word{Label: s.Label, Trials: s.Trials, Void: s.VoidTrials, Tried: age(s.LastTrial), Answered: -1}
 	if len(s.Key) != hex.EncodedLen(len(w.Key)) {
 		return w, false
 	}
@@ -98,8 +98,8 @@
 		}
 		w.Crashes = append(w.Crashes, quarantine.Crash{Life: quarantine.Life(life), Age: age(c.At)})
 	}
-	if s.Answered > 0 {
-		w.Answered = age(s.Answered)
+	if s.SucceededAt > 0 {
+		w.Answered = age(s.SucceededAt)
 	}
 	return w, true
 }
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -30,8 +30,8 @@
 	late int // those that came contactTime after the third
 }
 
-// deadly is a target's reaction to a body that crashes it.
-func (c *crashCounter) deadly(body string) func(string) bool {
+// crashesOn is a target's reaction to a body that crashes it.
+func (c *crashCounter) crashesOn(body string) func(string) bool {
 	return func(got string) bool {
 		if got != body {
 			return false
@@ -105,7 +105,7 @@
 				f := newTrafficFleet(t, c.n, 3, 12)
 				defer f.stop()
 				var crashed crashCounter
-				f.setCrashOn(crashed.deadly(body))
+				f.setCrashOn(crashed.crashesOn(body))
 				if c.before != nil {
 					c.before(f)
 				}
@@ -162,8 +162,8 @@
 	return served, rejected
 }
 
-// TestAlikeInnocents guards against a lasting quarantine of what many send alike while targets end of themselves.
-func TestAlikeInnocents(t *testing.T) {
+// TestAlikeInnocentRequests guards against a lasting quarantine of what many send alike while targets end of themselves.
+func TestAlikeInnocentRequests(t *testing.T) {
 	const body = "what everybody asks"
 	cases := []struct {
 		name    string
--- a/internal/gateway/quarantine_trial_test.go
+++ b/internal/gateway/quarantine_trial_test.go
@@ -20,7 +20,7 @@
 		f := newEvacuatedFleet(t, 3)
 		defer f.end()
 		var crashed crashCounter
-		f.setCrashOn(crashed.deadly(body))
+		f.setCrashOn(crashed.crashesOn(body))
 		for i := 0; crashed.total() < maxCrashes; i++ {
 			f.request(i%len(f.gateways), pathOnce, body)
 			time.Sleep(200 * time.Millisecond)
--- a/internal/gateway/retry_after_test.go
+++ b/internal/gateway/retry_after_test.go
@@ -9,9 +9,9 @@
 	"github.com/matryer/is"
 )
 
-// TestComeBackIsSoon: a caller whose request was turned away by targets that want rest for long
+// TestCapsRetryAfter: a caller whose request was turned away by targets that want rest for long
 // is told to come back soon: they told one instance, and the next one may be served.
-func TestComeBackIsSoon(t *testing.T) {
+func TestCapsRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		long := overloadedUntil(time.Hour, 20*time.Second)
--- a/internal/gateway/rollout_backoff_test.go
+++ b/internal/gateway/rollout_backoff_test.go
@@ -98,8 +98,8 @@
 	f.o.g.applyNotice(f.target, w, registry.Teller{From: string(fromAnswer)})
 }
 
-// TestReportsWaitForRest guards against reports asked for in a rest that the target has asked for.
-func TestReportsWaitForRest(t *testing.T) {
+// TestReportsWaitForBackoff guards against reports asked for in a rest that the target has asked for.
+func TestReportsWaitForBackoff(t *testing.T) {
 	const rest = 3 * time.Second
 	e := &countingEngines{backoff: rest}
 	newLoadFleet(t, e, func(is *is.I, f *loadFleet) {
@@ -112,9 +112,9 @@
 	})
 }
 
-// TestLoadGoesOnInRest guards against weights that come late since their target has asked a caller for
+// TestLoadContinuesInBackoff guards against weights that come late since their target has asked a caller for
 // rest, and against more than a few reports in it.
-func TestLoadGoesOnInRest(t *testing.T) {
+func TestLoadContinuesInBackoff(t *testing.T) {
 	const rest = 10 * time.Second
 	for name, asks := range map[string]func(e *countingEngines, f *loadFleet){
 		"before the report": func(_ *countingEngines, f *loadFleet) { f.applyEvents(Notice{Backoff: rest}) },
@@ -137,9 +137,9 @@
 	}
 }
 
-// TestLoadIsPlannedInRest guards against weights that never come since callers' requests renew a rest
+// TestLoadIsPlannedInBackoff guards against weights that never come since callers' requests renew a rest
 // again and again.
-func TestLoadIsPlannedInRest(t *testing.T) {
+func TestLoadIsPlannedInBackoff(t *testing.T) {
 	newLoadFleet(t, &countingEngines{}, func(is *is.I, f *loadFleet) {
 		f.applyEvents(Notice{Backoff: time.Hour})
 		is.Equal(len(f.planned()), 1)
@@ -179,8 +179,8 @@
 	})
 }
 
-// TestLoadEndsAtLeaver guards against reports and orders at a target that has said, since its load was planned, that it leaves.
-func TestLoadEndsAtLeaver(t *testing.T) {
+// TestLoadEndsAtLeavingTarget guards against reports and orders at a target that has said, since its load was planned, that it leaves.
+func TestLoadEndsAtLeavingTarget(t *testing.T) {
 	leave := func(f *loadFleet) {
 		f.applyEvents(Notice{Leaving: true})
 		synctest.Wait()
@@ -225,8 +225,8 @@
 	})
 }
 
-// TestFollowedLoadEndsAtLeaver guards against reports asked of a target that has said that it leaves after it took an order.
-func TestFollowedLoadEndsAtLeaver(t *testing.T) {
+// TestFollowedLoadEndsAtLeavingTarget guards against reports asked of a target that has said that it leaves after it took an order.
+func TestFollowedLoadEndsAtLeavingTarget(t *testing.T) {
 	e := &countingEngines{notice: Notice{Leaving: true}}
 	newLoadFleet(t, e, func(is *is.I, f *loadFleet) {
 		outcome := f.o.awaitLoad(f.t.Context(), "m", 2, f.target, 0)
--- a/internal/gateway/serve_test.go
+++ b/internal/gateway/serve_test.go
@@ -13,9 +13,9 @@
 	"github.com/shedhoist/shedhoist/internal/wait"
 )
 
-// TestAwaitBeliefs: a request that meets a new process waits until the process knows enough,
+// TestAwaitStartup: a request that meets a new process waits until the process knows enough,
 // for a bounded time and a part of its caller's patience, and no longer than its caller.
-func TestAwaitBeliefs(t *testing.T) {
+func TestAwaitStartup(t *testing.T) {
 	known := &View{Config: catalog.NewConfig(catalog.Draft{}), TargetsListed: true}
 	never := time.Hour
 	cases := []struct {
--- a/internal/gateway/shutdown_edge_test.go
+++ b/internal/gateway/shutdown_edge_test.go
@@ -209,9 +209,9 @@
 	onNew    = "new"    // opened late in the stop
 )
 
-// late begins a stop and opens a connection by its way, on which a request is to come at that
+// sendLate begins a stop and opens a connection by its way, on which a request is to come at that
 // moment of the stop. It returns the connection, and how many requests the target got by then.
-func (f *edgeFleet) late(way string, since time.Duration) (c *edgeCall, arrivals int64) {
+func (f *edgeFleet) sendLate(way string, since time.Duration) (c *edgeCall, arrivals int64) {
 	const opened = balancerNoticeTime + lingerAfterNotice/4
 	switch way {
 	case onKept:
@@ -232,8 +232,8 @@
 	return c, 0
 }
 
-// TestStopTakesAtItsEdges guards against a late request that is taken and cut, or refused though it ends in time.
-func TestStopTakesAtItsEdges(t *testing.T) {
+// TestStopAcceptsAtBoundaries guards against a late request that is taken and cut, or refused though it ends in time.
+func TestStopAcceptsAtBoundaries(t *testing.T) {
 	for _, since := range []time.Duration{acceptTime - time.Millisecond, acceptTime, acceptTime + 1, 3 * time.Second, 3700 * time.Millisecond} {
 		for _, over := range []time.Duration{-time.Millisecond, 0, 1, time.Second} {
 			for _, way := range []string{onUnused, onKept, onNew} {
@@ -243,7 +243,7 @@
 						codec := edgeCodec{kind: kind, timeout: edgeLast - since + over, public: public}
 						t.Run(name, func(t *testing.T) {
 							atStopEdge(t, codec, func(f *edgeFleet) {
-								c, arrivals := f.late(way, since)
+								c, arrivals := f.sendLate(way, since)
 								c.send(since, f.request(edgeCut-since-beforeCut, 0))
 								if since > acceptTime && over > 0 {
 									c.isRefused(since, arrivals)
@@ -260,14 +260,14 @@
 	}
 }
 
-// TestStopGoesByTheCallersPatience guards against refusing a request that ends in time by its
+// TestStopUsesCallerTimeout guards against refusing a request that ends in time by its
 // own deadline, though its route would let it last longer.
-func TestStopGoesByTheCallersPatience(t *testing.T) {
+func TestStopUsesCallerTimeout(t *testing.T) {
 	const since = 3200 * time.Millisecond
 	for over, refused := range map[time.Duration]bool{-time.Second: false, -time.Millisecond: false, 1: true, time.Second: true} {
 		t.Run(over.String(), func(t *testing.T) {
 			atStopEdge(t, edgeCodec{kind: catalog.Streaming, timeout: neverEnds}, func(f *edgeFleet) {
-				c, _ := f.late(onUnused, since)
+				c, _ := f.sendLate(onUnused, since)
 				c.send(since, f.request(time.Second, edgeLast-since+over))
 				if refused {
 					c.isRefused(since, 0)
@@ -280,26 +280,26 @@
 	}
 }
 
-// TestStopKnowsTheDefaultTimeout guards against a late request that is cut because neither its
+// TestStopUsesDefaultTimeout guards against a late request that is cut because neither its
 // route nor its caller says how long it may last.
-func TestStopKnowsTheDefaultTimeout(t *testing.T) {
+func TestStopUsesDefaultTimeout(t *testing.T) {
 	const since = 3200 * time.Millisecond
 	atStopEdge(t, edgeCodec{kind: catalog.Streaming}, func(f *edgeFleet) {
-		c, _ := f.late(onUnused, since)
+		c, _ := f.sendLate(onUnused, since)
 		c.send(since, f.request(neverEnds, 0))
 		c.isRefused(since, 0)
 		f.is.NoErr(<-f.stopped)
 	})
 }
 
-// TestStopAnswersWhatRunsOutOfTime guards against a late request that is closed without an
+// TestStopAnswersTimedOutRequests guards against a late request that is closed without an
 // answer, because its deadline is the moment of the cut: it is answered, or not taken.
-func TestStopAnswersWhatRunsOutOfTime(t *testing.T) {
+func TestStopAnswersTimedOutRequests(t *testing.T) {
 	const since = 3200 * time.Millisecond
 	for _, less := range []time.Duration{0, 1, time.Millisecond, answerTime - 1, answerTime, 2 * answerTime} {
 		t.Run(less.String(), func(t *testing.T) {
 			atStopEdge(t, edgeCodec{kind: catalog.Once, timeout: edgeCut - since - less}, func(f *edgeFleet) {
-				c, _ := f.late(onUnused, since)
+				c, _ := f.sendLate(onUnused, since)
 				c.send(since, f.request(neverEnds, 0))
 				if less < answerTime {
 					c.isRefused(since, 0)
@@ -344,7 +344,7 @@
 func TestStopAnswersSlowBodies(t *testing.T) {
 	const head, timeout = 3200 * time.Millisecond, time.Second
 	atStopEdge(t, edgeCodec{kind: catalog.Once, timeout: timeout}, func(f *edgeFleet) {
-		c, _ := f.late(onUnused, head)
+		c, _ := f.sendLate(onUnused, head)
 		text := f.request(0, 0)
 		c.send(head, text[:len(text)-1])
 		resp, body, whole := c.answer()
--- a/internal/gateway/shutdown_reload_test.go
+++ b/internal/gateway/shutdown_reload_test.go
@@ -14,7 +14,7 @@
 	for within, over := range map[time.Duration]time.Duration{time.Hour: 1, since: 0} {
 		t.Run(within.String(), func(t *testing.T) {
 			atStopEdge(t, edgeCodec{kind: catalog.Streaming, timeout: edgeLast - since + over}, func(f *edgeFleet) {
-				c, _ := f.late(onUnused, since)
+				c, _ := f.sendLate(onUnused, since)
 				f.until(balancerNoticeTime)
 				next := *f.gateways[0].settings()
 				next.StopWithin = within
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -17,8 +17,8 @@
 // bodyPiece is a request in two pieces.
 var bodyPiece = [2]string{"GET /x HTTP/1.1\r\nHost: a.example\r\n", "\r\n"}
 
-// TestStopAnswersWhatItReads guards against a stop that ends a request without an answer while it reads its header.
-func TestStopAnswersWhatItReads(t *testing.T) {
+// TestStopAnswersReadRequests guards against a stop that ends a request without an answer while it reads its header.
+func TestStopAnswersReadRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newMemoryFleet(t, 1, 1)
@@ -64,8 +64,8 @@
 	})
 }
 
-// TestStopClosesUnused guards against unused connections kept in a stop, so that more comes late and is cut.
-func TestStopClosesUnused(t *testing.T) {
+// TestStopClosesUnusedConns guards against unused connections kept in a stop, so that more comes late and is cut.
+func TestStopClosesUnusedConns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newMemoryFleet(t, 1, 1)
--- a/internal/gateway/staleness.go
+++ b/internal/gateway/staleness.go
@@ -124,9 +124,9 @@
 	return min(max(g.timeUntilStale(f), minStalePoll), updatePoll)
 }
 
-// isStale says whether an instance that goes by news must ask the object store about a kind.
+// checkStale says whether an instance that goes by news must ask the object store about a kind.
 // If the watchers are lost for one that is watched closely, they are for the others too.
-func (g *Gateway) isStale(f feed, news bool) bool {
+func (g *Gateway) checkStale(f feed, news bool) bool {
 	if !news || f.age == nil || g.timeUntilStale(f) > 0 {
 		return false
 	}
--- a/internal/gateway/staleness_test.go
+++ b/internal/gateway/staleness_test.go
@@ -29,8 +29,8 @@
 	return resp.StatusCode
 }
 
-// TestCutOff guards against an instance cut off that serves on, and one in touch that refuses.
-func TestCutOff(t *testing.T) {
+// TestCutOffInstanceRefusesRequests guards against an instance cut off that serves on, and one in touch that refuses.
+func TestCutOffInstanceRefusesRequests(t *testing.T) {
 	const n, alone = 9, 4
 	within := (&Settings{}).WithDefaults().ConfigWithin
 	cases := []struct {
@@ -76,9 +76,9 @@
 	}
 }
 
-// TestCalmFleetAsksLittle: while the watchers hear the object store nobody else asks it for
+// TestCalmFleetMakesFewStoreCalls: while the watchers hear the object store nobody else asks it for
 // what they tell, and all copies are young.
-func TestCalmFleetAsksLittle(t *testing.T) {
+func TestCalmFleetMakesFewStoreCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newMemoryFleet(t, 60, 4)
@@ -106,8 +106,8 @@
 	})
 }
 
-// TestWatchedAt: an answer holds as of when the store gave it, at the latest.
-func TestWatchedAt(t *testing.T) {
+// TestWatchValidAt: an answer holds as of when the store gave it, at the latest.
+func TestWatchValidAt(t *testing.T) {
 	is := is.New(t)
 	at := func(ms int) time.Time { return at0.Add(time.Duration(ms) * time.Millisecond) }
 	is.Equal(watchValidAt(at(0), at(805), 800*time.Millisecond, 0), at(800))
--- a/internal/gateway/stalled_process_test.go
+++ b/internal/gateway/stalled_process_test.go
@@ -9,9 +9,9 @@
 	"github.com/matryer/is"
 )
 
-// TestStoodStill: an instance that stood still knows it at its next tick, and sends nothing to
+// TestStalledProcess: an instance that stood still knows it at its next tick, and sends nothing to
 // cold targets for a while: it may not know who started meanwhile.
-func TestStoodStill(t *testing.T) {
+func TestStalledProcess(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	c := &controlState{log: &log.Logger{Handler: discard.Default}, now: func() time.Time { return now }}
--- a/internal/gateway/store_positions_test.go
+++ b/internal/gateway/store_positions_test.go
@@ -9,9 +9,9 @@
 	"github.com/shedhoist/shedhoist/internal/loads"
 )
 
-// TestSeenByAll guards against a part that is fetched at once though an instance has not said that it knows
+// TestStorePositionsOfAll guards against a part that is fetched at once though an instance has not said that it knows
 // of it, or has not been heard of lately, or knows of another life of the store.
-func TestSeenByAll(t *testing.T) {
+func TestStorePositionsOfAll(t *testing.T) {
 	is := is.New(t)
 	var b positionTracker
 	store := loads.KeyOf("10.0.0.1:1")
--- a/internal/gateway/unreachable_zones.go
+++ b/internal/gateway/unreachable_zones.go
@@ -145,7 +145,7 @@
 
 // UnreachableZone takes a peer's word, and passes it on once.
 func (h *peerHandler) SilentZone(req *UnreachableZone, _ *Ack) error {
-	d := &h.g.zones
+	d := &h.g.zoneMonitor
 	if !d.zones.Ask(req.Zone, h.g.now()) {
 		return nil // it is dark here too, or has just been looked at
 	}
@@ -184,7 +184,7 @@
 // unreachableZones are the zones that requests to some targets leave out. Where all that have targets
 // seem dark it is most likely this instance's own link, and none is left out.
 func (g *Gateway) unreachableZones(targets []*catalog.Target) map[string]bool {
-	out := g.zones.zones.Dark()
+	out := g.zoneMonitor.zones.Dark()
 	if len(out) == 0 {
 		return nil
 	}
--- a/internal/gateway/unreachable_zones_test.go
+++ b/internal/gateway/unreachable_zones_test.go
@@ -17,9 +17,9 @@
 
 // asked is one request of a caller.
 type timedRequest struct {
-	began    time.Time
-	duration time.Duration
-	status   int
+	startedAt time.Time
+	duration  time.Duration
+	status    int
 }
 
 // record sends requests to all instances but those of a zone, in turn, for a while.
@@ -37,9 +37,9 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			one := timedRequest{began: time.Now()}
+			one := timedRequest{startedAt: time.Now()}
 			one.status = f.request(to[i%len(to)], path, fmt.Sprint("request ", i)).status
-			one.duration = time.Since(one.began)
+			one.duration = time.Since(one.startedAt)
 			mu.Lock()
 			defer mu.Unlock()
 			out = append(out, one)
@@ -79,7 +79,7 @@
 					lost := time.Now()
 					failed, slow := 0, 0
 					for _, one := range f.record(path, zone, requestInterval, 6*time.Second) {
-						if one.began.Sub(lost) < unreachableAim {
+						if one.startedAt.Sub(lost) < unreachableAim {
 							continue
 						}
 						if one.status != http.StatusOK {
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestOneDarkTarget guards against a zone being left out since one of its targets is silent.
-func TestOneDarkTarget(t *testing.T) {
+// TestOneUnreachableTarget guards against a zone being left out since one of its targets is silent.
+func TestOneUnreachableTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newEvacuatedFleet(t, 9)
 		defer f.end()
@@ -120,8 +120,8 @@
 	})
 }
 
-// TestOwnLinkDark guards against an instance whose own link is cut giving up all zones.
-func TestOwnLinkDark(t *testing.T) {
+// TestOwnLinkDown guards against an instance whose own link is cut giving up all zones.
+func TestOwnLinkDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newEvacuatedFleet(t, 9)
 		defer f.end()
--- a/internal/gateway/updates_test.go
+++ b/internal/gateway/updates_test.go
@@ -59,12 +59,12 @@
 	return e
 }
 
-// TestNewsAreComplete mixes at random: targets that come, change and go; instances that
+// TestNoUpdateIsIncomplete mixes at random: targets that come, change and go; instances that
 // list them, go on from where they were, take one another's news, and start again. At any
 // time each instance knows exactly the targets that there were at its revision: news leave
 // nothing out, and bring nothing back, late ones neither. The list is long enough that peers do not hand it
 // over whole to an instance that can ask the store.
-func TestNewsAreComplete(t *testing.T) {
+func TestNoUpdateIsIncomplete(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(5, 6))
 	s := &fakeTargetStore{now: map[string]uint64{}, at: map[uint64]map[string]uint64{0: {}}}
@@ -107,7 +107,7 @@
 		if len(late) > 5 {
 			j := r.IntN(len(late))
 			to := late[j].to
-			applyDelayed(to, late[j].news, s, took)
+			applyDelayed(to, late[j].update, s, took)
 			late = append(late[:j], late[j+1:]...)
 			checkTable(t, to, s.at[uint64(to.targets.Revision())])
 		}
@@ -121,8 +121,8 @@
 
 // delayedUpdate is an answer under way.
 type delayedUpdate struct {
-	to   *controlState
-	news *StateUpdate
+	to     *controlState
+	update *StateUpdate
 }
 
 // applyDelayed lets an instance take another's news as Gateway.applyDelayed does.
--- a/internal/gateway/view_build.go
+++ b/internal/gateway/view_build.go
@@ -21,7 +21,7 @@
 type fleetSnapshot struct {
 	valid     bool
 	instances int
-	others    []string // see View.Others
+	others    []string // see View.OtherInstances
 	alive     []string
 	peers     []member.Member
 	attached  []string
--- a/internal/gateway/view_build_test.go
+++ b/internal/gateway/view_build_test.go
@@ -34,9 +34,9 @@
 	return out
 }
 
-// TestPartsAreShared: views share the parts whose causes did not change, a renewed entry
+// TestPartsOfViewsAreShared: views share the parts whose causes did not change, a renewed entry
 // that says the same included; each cause makes its part anew.
-func TestPartsAreShared(t *testing.T) {
+func TestPartsOfViewsAreShared(t *testing.T) {
 	is := is.New(t)
 	c := controlOf("a", "z0")
 	c.targets.List(9, targetsOf(3, 1), nil, at0)
@@ -117,9 +117,9 @@
 	is.Equal(len(few.buildView().Candidates["s"]), maxCandidates)
 }
 
-// TestWiden: where too few of its candidates are fit, an instance finds fit targets among
+// TestWidenCandidates: where too few of its candidates are fit, an instance finds fit targets among
 // all of the service: those that serve the newest weights, were not tried and do not rest.
-func TestWiden(t *testing.T) {
+func TestWidenCandidates(t *testing.T) {
 	is := is.New(t)
 	c := controlOf("e", "z0")
 	all := targetsOf(300, 3)
@@ -141,9 +141,9 @@
 	is.Equal(x.countFit(wide, []string{"i-0002"}), 18)
 }
 
-// TestLongList: a long list is handed over by a peer only to an instance that can't ask
+// TestLongTargetList: a long list is handed over by a peer only to an instance that can't ask
 // the object store; a short one, and changes, to any.
-func TestLongList(t *testing.T) {
+func TestLongTargetList(t *testing.T) {
 	is := is.New(t)
 	c := controlOf("e", "z0")
 	c.targets.List(1000, targetsOf(maxRelayedTargets+1, 3), nil, at0)
--- a/internal/gateway/warmup_test.go
+++ b/internal/gateway/warmup_test.go
@@ -37,47 +37,47 @@
 
 // requestCounter counts requests by target in sliding seconds.
 type requestCounter struct {
-	mu    sync.Mutex
-	came  map[string][]time.Time // by target
-	worst int
-	cold  map[string]time.Time // until when
-	all   int                  // that reached cold targets
+	mu             sync.Mutex
+	recent         map[string][]time.Time // by target
+	maxPerSecond   int
+	warmingUpUntil map[string]time.Time // until when
+	total          int                  // that reached cold targets
 }
 
 func (s *requestCounter) note(m *memoryTarget, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if !now.Before(s.cold[m.name]) {
+	if !now.Before(s.warmingUpUntil[m.name]) {
 		return
 	}
-	came := append(s.came[m.name], now)
+	came := append(s.recent[m.name], now)
 	for now.Sub(came[0]) >= time.Second {
 		came = came[1:]
 	}
-	s.came[m.name] = came
-	s.worst = max(s.worst, len(came))
-	s.all++
+	s.recent[m.name] = came
+	s.maxPerSecond = max(s.maxPerSecond, len(came))
+	s.total++
 }
 
-// mark notes that a target is cold for a time from now on.
-func (s *requestCounter) mark(m *memoryTarget, left time.Duration) {
+// markWarmingUp notes that a target is cold for a time from now on.
+func (s *requestCounter) markWarmingUp(m *memoryTarget, left time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cold[m.name] = time.Now().Add(left)
+	s.warmingUpUntil[m.name] = time.Now().Add(left)
 }
 
 // setWarmingUp has a target say that it is cold, as of now or of some time ago.
 func (s *requestCounter) setWarmingUp(m *memoryTarget, since time.Duration) {
-	s.mark(m, warmupDuration-since)
+	s.markWarmingUp(m, warmupDuration-since)
 	m.mu.Lock()
 	born := m.startedAt
 	m.mu.Unlock()
 	m.f.store.set(memoryTargets, m.name, catalog.Target{Service: "s", Address: m.name + ":1", Zone: m.zone, Start: born, ColdMS: (warmupDuration - since).Milliseconds()})
 }
 
-// TestColdTargets guards against more requests in a second than a cold target bears, and against none.
-func TestColdTargets(t *testing.T) {
+// TestCapsRequestsToWarmingUpTargets guards against more requests in a second than a cold target bears, and against none.
+func TestCapsRequestsToWarmingUpTargets(t *testing.T) {
 	const zone = "z1"
 	turnCold := func(f *evacuatedFleet, s *requestCounter) {
 		for _, m := range f.targets {
@@ -104,7 +104,7 @@
 				m.warmupMS = warmupDuration.Milliseconds()
 				m.mu.Unlock()
 				m.crash()
-				s.mark(m, restartTime+warmupDuration)
+				s.markWarmingUp(m, restartTime+warmupDuration)
 			}
 			time.Sleep(restartTime)
 		}, true},
@@ -113,14 +113,14 @@
 			time.Sleep(evacuateBound)
 			for _, m := range f.targets {
 				if m.zone == zone {
-					s.mark(m, warmupDuration)
+					s.markWarmingUp(m, warmupDuration)
 				}
 			}
 			f.release(zone)
 		}, false},
 		{"instances start meanwhile", 9, 300 * time.Millisecond, func(f *evacuatedFleet, s *requestCounter) {
 			for range 6 {
-				f.join()
+				f.addInstance()
 			}
 			time.Sleep(200 * time.Millisecond)
 			turnCold(f, s)
@@ -141,7 +141,7 @@
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				s := &requestCounter{came: map[string][]time.Time{}, cold: map[string]time.Time{}}
+				s := &requestCounter{recent: map[string][]time.Time{}, warmingUpUntil: map[string]time.Time{}}
 				f := newWarmupFleet(t, c.n, s)
 				defer f.end()
 				for range 4 {
@@ -150,7 +150,7 @@
 				time.Sleep(6 * time.Second)
 				c.turn(f, s)
 				time.Sleep(c.hold)
-				s.forget()
+				s.reset()
 				time.Sleep(warmupDuration + time.Second)
 				all, worst := s.totals()
 				if float64(worst) > maxWarmupRequests {
@@ -169,14 +169,14 @@
 func (s *requestCounter) totals() (all, worst int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.all, s.worst
+	return s.total, s.maxPerSecond
 }
 
-// forget leaves out what came so far.
-func (s *requestCounter) forget() {
+// reset leaves out what came so far.
+func (s *requestCounter) reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.came, s.worst, s.all = map[string][]time.Time{}, 0, 0
+	s.recent, s.maxPerSecond, s.total = map[string][]time.Time{}, 0, 0
 }
 
 func newWarmupFleet(t *testing.T, n int, s *requestCounter) *evacuatedFleet {
@@ -189,11 +189,11 @@
 	return f
 }
 
-// TestAllTargetsCold guards against requests that wait, or run, beyond what targets bear that are all cold.
-func TestAllTargetsCold(t *testing.T) {
+// TestAllTargetsWarmingUp guards against requests that wait, or run, beyond what targets bear that are all cold.
+func TestAllTargetsWarmingUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &requestCounter{came: map[string][]time.Time{}, cold: map[string]time.Time{}}
+		s := &requestCounter{recent: map[string][]time.Time{}, warmingUpUntil: map[string]time.Time{}}
 		f := newWarmupFleet(t, 9, s)
 		defer f.end()
 		time.Sleep(6 * time.Second)
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -50,7 +50,7 @@
 	alsoRefresh []wait.Signal
 	// knownRevision is up to where news made the beliefs complete; nil: they say nothing of it.
 	knownRevision func() platform.Version
-	// age is how long ago the copy was known to be complete, see ages.go; nil: not kept.
+	// age is how long ago the copy was known to be complete, see staleness.go; nil: not kept.
 	age func() (age time.Duration, known bool)
 	// onConfirmed takes that it was, as of a moment; nil: nobody wants to know.
 	onConfirmed func(at time.Time)
@@ -105,7 +105,7 @@
 	var last time.Time
 	for ctx.Err() == nil {
 		news := g.reliesOnPeers()
-		if listed && (news || g.isJoining() || f.kind != first && g.isFailing(first)) && !f.refresh.Within(ctx, g.updatePause(f, news)) && !g.isStale(f, news) {
+		if listed && (news || g.isJoining() || f.kind != first && g.isFailing(first)) && !f.refresh.Within(ctx, g.updatePause(f, news)) && !g.checkStale(f, news) {
 			continue
 		}
 		wait.For(ctx, minWatchInterval-g.now().Sub(last))
--- a/internal/gateway/watch_test.go
+++ b/internal/gateway/watch_test.go
@@ -55,9 +55,9 @@
 	})
 }
 
-// TestAskTargets: an instance of a large fleet that goes by news lists a kind once and asks
+// TestAsksStoreOnlyWhenDue: an instance of a large fleet that goes by news lists a kind once and asks
 // no more, but once when it is told to, from where the news have brought it.
-func TestAskTargets(t *testing.T) {
+func TestAsksStoreOnlyWhenDue(t *testing.T) {
 	is := is.New(t)
 	followed(t, maxSmallFleet+1, func(g *Gateway, store *countingKinds) {
 		time.Sleep(10 * time.Second)
@@ -70,8 +70,8 @@
 	})
 }
 
-// TestWatchGap: a storm of changes costs a bounded number of calls.
-func TestWatchGap(t *testing.T) {
+// TestWatchInterval: a storm of changes costs a bounded number of calls.
+func TestWatchInterval(t *testing.T) {
 	is := is.New(t)
 	followed(t, 3, func(_ *Gateway, store *countingKinds) {
 		time.Sleep(10 * time.Second)
