--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -18,10 +18,10 @@
 
 	"github.com/shedhoist/shedhoist/internal/caller"
 	"github.com/shedhoist/shedhoist/internal/config"
+	"github.com/shedhoist/shedhoist/internal/core/atmostonce"
 	"github.com/shedhoist/shedhoist/internal/core/cache"
 	"github.com/shedhoist/shedhoist/internal/core/member"
 	"github.com/shedhoist/shedhoist/internal/core/observe"
-	"github.com/shedhoist/shedhoist/internal/core/once"
 	"github.com/shedhoist/shedhoist/internal/core/route"
 	"github.com/shedhoist/shedhoist/internal/dispatch"
 	"github.com/shedhoist/shedhoist/internal/drain"
@@ -88,7 +88,7 @@
 	d.ctx, d.stop = context.WithCancel(context.Background())
 	d.store = platform.NewClient(set.Platform.URL, set.Platform.Token, nil)
 	d.repo = &config.Repo{Store: d.store, Now: d.now}
-	d.ledger = ledger.New(d.ctx, d.store, once.DefaultParams, d.now)
+	d.ledger = ledger.New(d.ctx, d.store, atmostonce.DefaultParams, d.now)
 	d.engines = target.NewClient(settings.Duration(set.Timing.ConnectMS))
 	d.admit = newAdmission(d.now)
 	d.dispatch = &dispatch.Dispatcher{Instance: set.Name, Zone: set.Zone, View: &d.view, Targets: d.engines,
--- a/internal/daemon/keeper.go
+++ b/internal/daemon/keeper.go
@@ -5,8 +5,8 @@
 	"strconv"
 	"time"
 
+	"github.com/shedhoist/shedhoist/internal/core/atmostonce"
 	"github.com/shedhoist/shedhoist/internal/core/member"
-	"github.com/shedhoist/shedhoist/internal/core/once"
 	"github.com/shedhoist/shedhoist/internal/core/rendezvous"
 	"github.com/shedhoist/shedhoist/internal/ledger"
 	"github.com/shedhoist/shedhoist/internal/peer"
@@ -44,7 +44,7 @@
 // Claim implements dispatch.Ledger: it goes to the keeper, and to the platform
 // by itself if the keeper does not answer. Both may then write the claim; it
 // carries one nonce, so it is one claim.
-func (k keeper) Claim(ctx context.Context, e once.Entry) (once.Answer, error) {
+func (k keeper) Claim(ctx context.Context, e atmostonce.Entry) (atmostonce.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	if address := k.of(ctx, ledger.PartitionOf(e.ID)); address != "" {
@@ -52,14 +52,14 @@
 		defer pcancel()
 		var out peer.Claimed
 		if err := k.d.pool.Call(pctx, address, "Peer.Claim", &peer.Claim{Entry: e}, &out); err == nil {
-			return once.Answer{Verdict: out.Verdict, Outcome: out.Outcome}, nil
+			return atmostonce.Result{Verdict: out.Verdict, Outcome: out.Outcome}, nil
 		}
 	}
 	return k.d.ledger.Claim(ctx, e)
 }
 
 // Settle implements dispatch.Ledger. It does not wait.
-func (k keeper) Settle(id once.ID, nonce once.Nonce, o once.Outcome) {
+func (k keeper) Settle(id atmostonce.ID, nonce atmostonce.Nonce, o atmostonce.Outcome) {
 	go func() {
 		ctx, cancel := context.WithTimeout(k.d.ctx, claimTimeout)
 		defer cancel()
--- a/internal/dispatch/claim.go
+++ b/internal/dispatch/claim.go
@@ -7,7 +7,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/shedhoist/shedhoist/internal/core/once"
+	"github.com/shedhoist/shedhoist/internal/core/atmostonce"
 	"github.com/shedhoist/shedhoist/internal/explain"
 	"github.com/shedhoist/shedhoist/internal/ledger"
 	"github.com/shedhoist/shedhoist/internal/problem"
@@ -25,7 +25,7 @@
 // claim makes the claim of a keyed request that is not idempotent. It returns
 // nil for a request that needs none, the stored answer of an earlier run, or
 // the final problem. Only a returned entry may be dispatched.
-func (d *Dispatcher) claim(ctx context.Context, req *ServiceRequest, idempotent bool) (*once.Entry, *target.Answer, error) {
+func (d *Dispatcher) claim(ctx context.Context, req *ServiceRequest, idempotent bool) (*atmostonce.Entry, *target.Answer, error) {
 	key := req.Header.Get(headerKey)
 	if idempotent || key == "" {
 		return nil, nil, nil
@@ -38,11 +38,11 @@
 		_, _ = h.WriteString(part + "\x00")
 	}
 	_, _ = h.Write(req.Body)
-	e := &once.Entry{ID: ledger.NewID(req.Customer.Name, key), Nonce: ledger.NewNonce(), Request: h.Sum64()}
+	e := &atmostonce.Entry{ID: ledger.NewID(req.Customer.Name, key), Nonce: ledger.NewNonce(), RequestHash: h.Sum64()}
 	a, err := d.Ledger.Claim(ctx, *e)
 	if err != nil {
 		// Should the claim be durable after all, free it: it is not dispatched.
-		d.Ledger.Settle(e.ID, e.Nonce, once.Outcome{Void: true})
+		d.Ledger.Settle(e.ID, e.Nonce, atmostonce.Outcome{Void: true})
 		p := problem.New(problem.LedgerDown, "the ledger of requests that may not be repeated can't be reached")
 		p.RetryAfter = ledgerRetry
 		return nil, nil, p
@@ -53,14 +53,14 @@
 // ledgerRetry is when a caller may come back after a ledger failure.
 const ledgerRetry = 2 * time.Second
 
-func (d *Dispatcher) judge(e *once.Entry, a once.Answer) (*once.Entry, *target.Answer, error) {
+func (d *Dispatcher) judge(e *atmostonce.Entry, a atmostonce.Result) (*atmostonce.Entry, *target.Answer, error) {
 	switch a.Verdict {
-	case once.Granted:
+	case atmostonce.Granted:
 		return e, nil, nil
-	case once.Differs:
+	case atmostonce.Mismatch:
 		return nil, nil, problem.New(problem.KeyReused, "the idempotency key was used for another request")
-	case once.Done:
-		if !a.Outcome.Cut {
+	case atmostonce.Completed:
+		if !a.Outcome.Truncated {
 			h := http.Header{headerReplayed: {"true"}}
 			if a.Outcome.ContentType != "" {
 				h.Set("Content-Type", a.Outcome.ContentType)
@@ -75,13 +75,13 @@
 
 // settle tells the ledger what became of a claim. One whose request may have
 // run without an answer is left as it is.
-func (d *Dispatcher) settle(claim *once.Entry, answer *target.Answer, ex problem.Execution) {
+func (d *Dispatcher) settle(claim *atmostonce.Entry, answer *target.Answer, ex problem.Execution) {
 	switch {
 	case claim == nil:
 	case answer != nil:
-		d.Ledger.Settle(claim.ID, claim.Nonce, once.Outcome{Status: answer.Status, ContentType: answer.Header.Get("Content-Type"), Body: answer.Body})
+		d.Ledger.Settle(claim.ID, claim.Nonce, atmostonce.Outcome{Status: answer.Status, ContentType: answer.Header.Get("Content-Type"), Body: answer.Body})
 	case ex == problem.NotRun:
-		d.Ledger.Settle(claim.ID, claim.Nonce, once.Outcome{Void: true})
+		d.Ledger.Settle(claim.ID, claim.Nonce, atmostonce.Outcome{Void: true})
 	}
 }
 
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -14,10 +14,10 @@
 	"github.com/apex/log"
 
 	"github.com/shedhoist/shedhoist/internal/breaker"
+	"github.com/shedhoist/shedhoist/internal/core/atmostonce"
 	"github.com/shedhoist/shedhoist/internal/core/attempt"
 	"github.com/shedhoist/shedhoist/internal/core/cache"
 	"github.com/shedhoist/shedhoist/internal/core/limit"
-	"github.com/shedhoist/shedhoist/internal/core/once"
 	"github.com/shedhoist/shedhoist/internal/core/route"
 	"github.com/shedhoist/shedhoist/internal/explain"
 	"github.com/shedhoist/shedhoist/internal/inflight"
@@ -65,9 +65,9 @@
 type Ledger interface {
 	// Claim returns an error if it is not known whether the claim is durable:
 	// its request must not be dispatched.
-	Claim(ctx context.Context, e once.Entry) (once.Answer, error)
+	Claim(ctx context.Context, e atmostonce.Entry) (atmostonce.Result, error)
 	// Settle brings the outcome, or frees a claim whose request was not sent.
-	Settle(id once.ID, nonce once.Nonce, o once.Outcome)
+	Settle(id atmostonce.ID, nonce atmostonce.Nonce, o atmostonce.Outcome)
 }
 
 // maxKeeps bounds the exports that one instance has under way.
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"github.com/shedhoist/shedhoist/internal/core/once"
+	"github.com/shedhoist/shedhoist/internal/core/atmostonce"
 	"github.com/shedhoist/shedhoist/internal/metric"
 	"github.com/shedhoist/shedhoist/internal/platform"
 )
@@ -36,26 +36,26 @@
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
 // NewID names the claim of a customer's key.
-func NewID(customer, key string) once.ID {
+func NewID(customer, key string) atmostonce.ID {
 	h := sha256.New()
 	fmt.Fprintf(h, "%d:%s%s", len(customer), customer, key)
-	return once.ID(h.Sum(nil)[:16])
+	return atmostonce.ID(h.Sum(nil)[:16])
 }
 
 // NewNonce returns a random nonce.
-func NewNonce() once.Nonce {
-	var n once.Nonce
+func NewNonce() atmostonce.Nonce {
+	var n atmostonce.Nonce
 	_, _ = rand.Read(n[:]) // crypto/rand.Read never fails; it ends the process instead
 	return n
 }
 
 // PartitionOf returns the partition of a claim.
-func PartitionOf(id once.ID) int { return int(id[0]) % Partitions }
+func PartitionOf(id atmostonce.ID) int { return int(id[0]) % Partitions }
 
 // Ledger holds the partitions that this instance has used.
 type Ledger struct {
 	store  platform.Store
-	params once.Params
+	params atmostonce.Params
 	now    func() time.Time
 	ctx    context.Context
 
@@ -65,7 +65,7 @@
 }
 
 // New returns a ledger whose work ends with ctx.
-func New(ctx context.Context, store platform.Store, params once.Params, now func() time.Time) *Ledger {
+func New(ctx context.Context, store platform.Store, params atmostonce.Params, now func() time.Time) *Ledger {
 	return &Ledger{ctx: ctx, store: store, params: params, now: now}
 }
 
@@ -76,7 +76,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.runs[n] == nil {
-		r := &runner{l: l, prefix: fmt.Sprintf("once/%02d/", n), ops: make(chan op, opBacklog), p: once.New(l.params)}
+		r := &runner{l: l, prefix: fmt.Sprintf("once/%02d/", n), ops: make(chan op, opBacklog), p: atmostonce.New(l.params)}
 		l.runs[n] = r
 		l.done.Add(1)
 		go func() {
@@ -89,33 +89,33 @@
 
 // Claim makes a claim durable, or answers from the chain what became of an
 // earlier one. To repeat it with the same nonce is safe.
-func (l *Ledger) Claim(ctx context.Context, e once.Entry) (once.Answer, error) {
-	got := make(chan once.Answer, 1)
-	if !l.runner(PartitionOf(e.ID)).send(ctx, func(p *once.Partition) {
-		p.Offer(e, func(a once.Answer) { got <- a })
+func (l *Ledger) Claim(ctx context.Context, e atmostonce.Entry) (atmostonce.Result, error) {
+	got := make(chan atmostonce.Result, 1)
+	if !l.runner(PartitionOf(e.ID)).send(ctx, func(p *atmostonce.Partition) {
+		p.Submit(e, func(a atmostonce.Result) { got <- a })
 	}) {
-		return once.Answer{}, &UnavailableError{Cause: ctx.Err()}
+		return atmostonce.Result{}, &UnavailableError{Cause: ctx.Err()}
 	}
 	select {
 	case a := <-got:
-		if a.Verdict == once.Unsettled {
+		if a.Verdict == atmostonce.Undetermined {
 			return a, &UnavailableError{}
 		}
 		return a, nil
 	case <-ctx.Done():
-		return once.Answer{}, &UnavailableError{Cause: ctx.Err()}
+		return atmostonce.Result{}, &UnavailableError{Cause: ctx.Err()}
 	case <-l.ctx.Done():
-		return once.Answer{}, &UnavailableError{Cause: l.ctx.Err()}
+		return atmostonce.Result{}, &UnavailableError{Cause: l.ctx.Err()}
 	}
 }
 
 // Settle brings a claim's outcome; it does not wait.
-func (l *Ledger) Settle(id once.ID, nonce once.Nonce, o once.Outcome) {
-	l.runner(PartitionOf(id)).send(l.ctx, func(p *once.Partition) { p.Complete(id, nonce, o) })
+func (l *Ledger) Settle(id atmostonce.ID, nonce atmostonce.Nonce, o atmostonce.Outcome) {
+	l.runner(PartitionOf(id)).send(l.ctx, func(p *atmostonce.Partition) { p.Complete(id, nonce, o) })
 }
 
 // op is something to do with a partition on its own goroutine.
-type op func(*once.Partition)
+type op func(*atmostonce.Partition)
 
 // Bounds of a runner.
 const (
@@ -130,7 +130,7 @@
 	l        *Ledger
 	prefix   string
 	ops      chan op
-	p        *once.Partition
+	p        *atmostonce.Partition
 	failures int
 }
 
@@ -155,7 +155,7 @@
 			r.drain()
 		case <-timer.C:
 		case <-r.l.ctx.Done():
-			r.p.GiveUp()
+			r.p.FailQueued()
 			return
 		}
 		timer.Reset(r.step())
@@ -185,14 +185,14 @@
 		}
 	}
 	now := r.l.now()
-	at, some := r.p.Due(now)
+	at, some := r.p.NextWriteAt(now)
 	if !some {
 		return idle
 	}
 	if wait := at.Sub(now); wait > 0 {
 		return wait
 	}
-	w, err := r.p.Next(now, NewNonce())
+	w, err := r.p.BeginWrite(now, NewNonce())
 	if err != nil || w == nil {
 		return idle
 	}
@@ -209,7 +209,7 @@
 	r.failures++
 	metric.LedgerErrors.Inc()
 	if r.failures >= giveUpAfter {
-		r.p.GiveUp()
+		r.p.FailQueued()
 	}
 	return retryPause * time.Duration(min(r.failures, 20))
 }
@@ -226,13 +226,13 @@
 	if err != nil && !errors.As(err, &missing) {
 		return err
 	}
-	tip, err := once.DecodeTip(o.Value)
+	tip, err := atmostonce.DecodeTip(o.Value)
 	if err != nil {
 		return err
 	}
 	var keys []string
 	for _, s := range tip.Segments {
-		if !r.p.Has(s.Key) {
+		if !r.p.HasSegment(s.Key) {
 			keys = append(keys, s.Key)
 		}
 	}
@@ -245,8 +245,8 @@
 }
 
 // segments reads segments, some at once, and returns them in order.
-func (r *runner) segments(keys []string) ([][]once.Entry, error) {
-	out := make([][]once.Entry, len(keys))
+func (r *runner) segments(keys []string) ([][]atmostonce.Entry, error) {
+	out := make([][]atmostonce.Entry, len(keys))
 	errs := make([]error, len(keys))
 	slots := make(chan struct{}, loadAtOnce)
 	var wg sync.WaitGroup
@@ -260,7 +260,7 @@
 			defer cancel()
 			o, err := r.l.store.Get(ctx, r.prefix+"segments/"+key)
 			if err == nil {
-				out[i], err = once.DecodeSegment(o.Value)
+				out[i], err = atmostonce.DecodeSegment(o.Value)
 			}
 			errs[i] = err
 		}()
@@ -270,28 +270,28 @@
 }
 
 // write carries out one write: the segment first, then the tip.
-func (r *runner) write(w *once.Write) error {
+func (r *runner) write(w *atmostonce.Write) error {
 	ctx, cancel := context.WithTimeout(r.l.ctx, callTimeout)
 	defer cancel()
 	if w.Segment != nil {
 		if _, err := r.l.store.Put(ctx, r.prefix+"segments/"+w.SegmentKey, w.Segment, 0); err != nil {
-			r.p.Lost()
+			r.p.WriteFailed()
 			return err
 		}
 	}
 	metric.LedgerWrites.Inc()
-	v, err := r.l.store.Put(ctx, r.prefix+"tip", w.Tip, platform.Version(w.Want))
+	v, err := r.l.store.Put(ctx, r.prefix+"tip", w.Tip, platform.Version(w.ExpectedVersion))
 	var conflict *platform.ConflictError
 	switch {
 	case err == nil:
-		r.remove(r.p.Written(uint64(v), r.l.now()))
+		r.remove(r.p.WriteSucceeded(uint64(v), r.l.now()))
 		return nil
 	case errors.As(err, &conflict):
-		r.p.Lost() // another instance wrote: read what, and try again at once
+		r.p.WriteFailed() // another instance wrote: read what, and try again at once
 		metric.LedgerConflicts.Inc()
 		return nil
 	}
-	r.p.Lost()
+	r.p.WriteFailed()
 	return err
 }
 
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -8,10 +8,10 @@
 	"sync"
 	"time"
 
+	"github.com/shedhoist/shedhoist/internal/core/atmostonce"
 	"github.com/shedhoist/shedhoist/internal/core/limit"
 	"github.com/shedhoist/shedhoist/internal/core/member"
 	"github.com/shedhoist/shedhoist/internal/core/observe"
-	"github.com/shedhoist/shedhoist/internal/core/once"
 	"github.com/shedhoist/shedhoist/internal/explain"
 )
 
@@ -89,20 +89,20 @@
 
 // Claim asks a keeper to make a claim durable.
 type Claim struct {
-	Entry once.Entry `cbor:"1,keyasint"`
+	Entry atmostonce.Entry `cbor:"1,keyasint"`
 }
 
 // Claimed is the answer to a Claim.
 type Claimed struct {
-	Verdict once.Verdict  `cbor:"1,keyasint"`
-	Outcome *once.Outcome `cbor:"2,keyasint,omitempty"`
+	Verdict atmostonce.Verdict  `cbor:"1,keyasint"`
+	Outcome *atmostonce.Outcome `cbor:"2,keyasint,omitempty"`
 }
 
 // Settle brings a keeper a claim's outcome.
 type Settle struct {
-	ID      once.ID      `cbor:"1,keyasint"`
-	Nonce   once.Nonce   `cbor:"2,keyasint"`
-	Outcome once.Outcome `cbor:"3,keyasint"`
+	ID      atmostonce.ID      `cbor:"1,keyasint"`
+	Nonce   atmostonce.Nonce   `cbor:"2,keyasint"`
+	Outcome atmostonce.Outcome `cbor:"3,keyasint"`
 }
 
 // Settled is the answer to a Settle.
--- a/internal/standin/measure/ledger.go
+++ b/internal/standin/measure/ledger.go
@@ -9,7 +9,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"github.com/shedhoist/shedhoist/internal/core/once"
+	"github.com/shedhoist/shedhoist/internal/core/atmostonce"
 	"github.com/shedhoist/shedhoist/internal/ledger"
 	"github.com/shedhoist/shedhoist/internal/platform"
 	standin "github.com/shedhoist/shedhoist/internal/standin/platform"
@@ -78,7 +78,7 @@
 	defer stop()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	l := ledger.New(ctx, store, once.DefaultParams, time.Now)
+	l := ledger.New(ctx, store, atmostonce.DefaultParams, time.Now)
 	h := hdrhistogram.New(1, maxNS, 3)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -89,20 +89,20 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			e := once.Entry{ID: ledger.NewID("customer", fmt.Sprint(rate, "/", i)), Nonce: ledger.NewNonce()}
+			e := atmostonce.Entry{ID: ledger.NewID("customer", fmt.Sprint(rate, "/", i)), Nonce: ledger.NewNonce()}
 			began := time.Now()
-			if a, err := l.Claim(ctx, e); err != nil || a.Verdict != once.Granted {
+			if a, err := l.Claim(ctx, e); err != nil || a.Verdict != atmostonce.Granted {
 				return
 			}
 			took := time.Since(began)
-			l.Settle(e.ID, e.Nonce, once.Outcome{Status: 200, Body: []byte(`{"ok":true}`)})
+			l.Settle(e.ID, e.Nonce, atmostonce.Outcome{Status: 200, Body: []byte(`{"ok":true}`)})
 			mu.Lock()
 			_ = h.RecordValue(int64(took))
 			mu.Unlock()
 		}()
 	}
 	wg.Wait()
-	wait.For(ctx, 3*once.DefaultParams.Pace) // the last outcomes
+	wait.For(ctx, 3*atmostonce.DefaultParams.MinWriteInterval) // the last outcomes
 	ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1e6 }
 	return &LedgerRate{Rate: rate, Claims: int(h.TotalCount()), Writes: float64(p.Calls()["put"]) / float64(h.TotalCount()), P50: ms(50), P99: ms(99)}, nil
 }
@@ -118,9 +118,9 @@
 	before := p.Calls()["get"]
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	l := ledger.New(ctx, store, once.DefaultParams, time.Now)
+	l := ledger.New(ctx, store, atmostonce.DefaultParams, time.Now)
 	start := time.Now()
-	if _, err := l.Claim(ctx, once.Entry{Nonce: ledger.NewNonce()}); err != nil {
+	if _, err := l.Claim(ctx, atmostonce.Entry{Nonce: ledger.NewNonce()}); err != nil {
 		return nil, err
 	}
 	return &LedgerRecovery{Claims: claims, Reads: p.Calls()["get"] - before, Seconds: time.Since(start).Seconds()}, nil
@@ -128,18 +128,18 @@
 
 // fill writes a partition's chain as a keeper would, in large batches.
 func fill(ctx context.Context, store platform.Store, claims int) error {
-	part := once.New(once.DefaultParams)
-	part.Load(once.Tip{}, 0, nil)
+	part := atmostonce.New(atmostonce.DefaultParams)
+	part.Load(atmostonce.Tip{}, 0, nil)
 	now := time.Now()
 	for i := range claims {
 		id := ledger.NewID("customer", fmt.Sprint("fill ", i))
 		id[0] = 0 // all in partition 0
-		part.Offer(once.Entry{ID: id, Nonce: ledger.NewNonce(), At: now.Unix()}, func(once.Answer) {})
+		part.Submit(atmostonce.Entry{ID: id, Nonce: ledger.NewNonce(), ClaimedAt: now.Unix()}, func(atmostonce.Result) {})
 		if i%1000 != 999 && i != claims-1 {
 			continue
 		}
-		now = now.Add(once.DefaultParams.Pace)
-		w, err := part.Next(now, ledger.NewNonce())
+		now = now.Add(atmostonce.DefaultParams.MinWriteInterval)
+		w, err := part.BeginWrite(now, ledger.NewNonce())
 		if err != nil || w == nil {
 			return err
 		}
@@ -148,11 +148,11 @@
 				return err
 			}
 		}
-		v, err := store.Put(ctx, "once/00/tip", w.Tip, platform.Version(w.Want))
+		v, err := store.Put(ctx, "once/00/tip", w.Tip, platform.Version(w.ExpectedVersion))
 		if err != nil {
 			return err
 		}
-		part.Written(uint64(v), now)
+		part.WriteSucceeded(uint64(v), now)
 	}
 	return nil
 }
--- a/internal/standin/measure/slopes.go
+++ b/internal/standin/measure/slopes.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"github.com/shedhoist/shedhoist/internal/config"
+	"github.com/shedhoist/shedhoist/internal/core/atmostonce"
 	"github.com/shedhoist/shedhoist/internal/core/cache"
 	"github.com/shedhoist/shedhoist/internal/core/observe"
-	"github.com/shedhoist/shedhoist/internal/core/once"
 	"github.com/shedhoist/shedhoist/internal/core/prefix"
 	"github.com/shedhoist/shedhoist/internal/core/route"
 	"github.com/shedhoist/shedhoist/internal/explain"
@@ -172,12 +172,12 @@
 	s := &Slope{Role: "ledger keeping", Figure: "memory of a partition's index", Unit: "kB", Over: "claims held", Want: Linear, Target: 250_000}
 	for _, n := range []int{10_000, 30_000, 100_000, 300_000} {
 		s.X, s.Y = append(s.X, float64(n)), append(s.Y, held(func() any {
-			p := once.New(once.DefaultParams)
-			entries := make([]once.Entry, n)
+			p := atmostonce.New(atmostonce.DefaultParams)
+			entries := make([]atmostonce.Entry, n)
 			for i := range entries {
 				entries[i].ID[0], entries[i].ID[1], entries[i].ID[2] = byte(i), byte(i>>8), byte(i>>16)
 			}
-			p.Load(once.Tip{}, 1, [][]once.Entry{entries})
+			p.Load(atmostonce.Tip{}, 1, [][]atmostonce.Entry{entries})
 			return p
 		}))
 	}
