--- a/internal/core/observe/observe.go
+++ b/internal/core/observe/observe.go
@@ -291,7 +291,7 @@
 		out = append(out, route.Target{
 			Name: e.spec.Name, Address: e.spec.Address, Zone: e.spec.Zone, Model: e.spec.Model,
 			Version: k.Version, Adapters: k.Adapters, State: t.state(e, now), Slots: e.spec.Slots,
-			Running: int(k.Running), Queued: int(k.Queued), ReportMS: ms(now.Sub(e.at)), RTT: ms(e.rtt) / 2,
+			Running: int(k.Running), QueuedTokens: int(k.Queued), ReportAgeMS: ms(now.Sub(e.at)), RTTMS: ms(e.rtt) / 2,
 		})
 	}
 	return out
--- a/internal/core/route/route.go
+++ b/internal/core/route/route.go
@@ -1,10 +1,10 @@
-// Package route picks the target of one request. It is pure: a snapshot of
-// the targets and a query go in, a decision with its reasons comes out.
+// Package route picks the target of a request. It is pure: a decision depends only
+// on a snapshot of the targets and a query.
 //
-// Candidates are found by function, not by message: rendezvous hashing of the
-// prompt's root key over the targets that may serve it. Any instance that sees
-// the same targets finds the same candidates. Among them the lowest predicted
-// cost wins, in milliseconds to the first token.
+// Candidates are computed without coordination, by rendezvous hashing of the
+// prompt's root key over the targets that may serve it. Instances that see the
+// same targets find the same candidates. The candidate with the lowest predicted
+// cost, in milliseconds to the first token, wins.
 package route
 
 import (
@@ -16,223 +16,227 @@
 	"github.com/shedhoist/shedhoist/internal/core/prefix"
 )
 
-// State is what may be sent to a target.
+// State is the routing state of a target.
 type State uint8
 
-// Target states. Only Ready takes new work.
+// Target states. Only a Ready target gets new requests.
 const (
 	Ready    State = iota
-	Unknown        // not observed yet
-	Suspect        // does not answer its observers
-	Draining       // taken out by an operator
-	Leaving        // leaves by the list or by its own word
+	Unknown        // not observed yet, or loading weights
+	Suspect        // does not respond to its observers, or is ejected
+	Draining       // drained by an operator
+	Leaving        // leaving, by the target list or by its own report
 )
 
-// String names the state for operators.
+// String returns the state's name, as operators see it.
 func (s State) String() string {
 	return [...]string{"ready", "unknown", "suspect", "draining", "leaving"}[s]
 }
 
-// Target is one target as routing sees it.
+// Target is the state of one target that routing depends on.
 type Target struct {
-	Name     string
-	Address  string
-	Zone     string
-	Model    string
-	Version  string   // weight version that it says it serves
-	Adapters []string // adapters that it says it has
-	State    State
-	Slots    int
-	Running  int     // from the last load report
-	Queued   int     // prompt tokens waiting, from the last load report
-	ReportMS float64 // age of that report
-	RTT      float64 // network round trip from this instance, ms
+	Name         string
+	Address      string
+	Zone         string
+	Model        string
+	Version      string   // weight version that the target reports
+	Adapters     []string // adapters that the target reports
+	State        State
+	Slots        int
+	Running      int     // running requests, from the last load report
+	QueuedTokens int     // prompt tokens waiting, from the last load report
+	ReportAgeMS  float64 // age of the last load report, ms
+	RTTMS        float64 // network round trip from this instance, ms
 }
 
-// Hints tells what is believed to be where. Hints may be wrong: they move
-// cost, never content.
+// Hints gives estimates of cache contents and load. They may be wrong: they change
+// costs, never the content of a response.
 type Hints interface {
-	// Resident is how many leading keys the target is believed to hold.
+	// Resident returns how many leading keys the target is assumed to hold.
 	Resident(target string, keys []prefix.Key) int
-	// Inflight is this instance's own work at the target since its last load
-	// report: runs, and prompt tokens not yet computed.
+	// Inflight returns this instance's own requests at the target since its last load
+	// report: their number, and their prompt tokens not yet computed.
 	Inflight(target string) (runs, tokens int)
 }
 
-// Query is one request to place.
+// Query is a request to be placed.
 type Query struct {
 	Model, Version, Adapter string
 	Keys                    []prefix.Key
-	Tokens                  int      // prompt tokens
-	Stored                  int      // leading keys that a store is believed to hold
-	StoreMS                 float64  // predicted time to restore them, ms
-	Exclude                 []string // targets already tried
-	AvoidZone               string   // zone of a target that just failed; "" is none
-	Rand                    uint64   // for the two random candidates
-	Turn                    uint64   // counts requests, for RoundRobin
+	PromptTokens            int
+	StoredChunks            int      // leading keys that a store is assumed to hold
+	RestoreMS               float64  // predicted time to restore the stored chunks, ms
+	ExcludeTargets          []string // targets already tried
+	ExcludeZone             string   // zone of a target that has just failed; "": none
+	Seed                    uint64   // random value for random candidates and ties
+	Sequence                uint64   // request counter, for RoundRobin
 }
 
-// Params are the dials, from the policy and the model.
+// Params are the parameters of the cost model, from the policy and the model.
+// HomeCandidates is the number of homes to consider.
 type Params struct {
-	Policy          Policy
-	Candidates      int
-	RecomputeWeight float64 // ms per recomputed token
-	PrefillMS       float64 // ms to compute one prompt token
-	DecodeMS        float64 // ms a running request adds to a first token
+	Policy             Policy
+	HomeCandidates     int
+	RecomputeWeightMS  float64 // cost per recomputed token, ms
+	PrefillMSPerToken  float64 // time to compute a prompt token, ms
+	DecodeMSPerRequest float64 // delay that each running request adds to a first token, ms
 }
 
-// Action says how the prompt's cache is obtained.
+// Action is how the prompt's cache is obtained.
 type Action uint8
 
 // Actions.
 const (
-	Recompute Action = iota // compute what is not resident
-	Reuse                   // the whole chain is believed resident
-	Restore                 // import from a store what is not resident
+	Recompute Action = iota // compute the chunks that are not resident
+	Reuse                   // all chunks are assumed to be resident
+	Restore                 // import the chunks that are not resident from a store
 )
 
-// String names the action for operators.
+// String returns the action's name, as operators see it.
 func (a Action) String() string { return [...]string{"recompute", "reuse", "restore"}[a] }
 
-// Candidate is one target considered, with its predicted cost.
+// Candidate is a considered target with its predicted cost.
 type Candidate struct {
-	Target    string  `json:"target"`
-	Home      bool    `json:"home"` // found by hashing, not at random
-	WaitMS    float64 `json:"wait_ms"`
-	RTTMS     float64 `json:"rtt_ms"`
-	PrefillMS float64 `json:"prefill_ms"`
-	Resident  int     `json:"resident_chunks"`
-	Recompute int     `json:"recompute_tokens"`
-	CostMS    float64 `json:"cost_ms"`
-	Action    string  `json:"action"`
+	Target          string  `json:"target"`
+	Home            bool    `json:"home"` // a home of the prompt, found by hashing and not at random
+	WaitMS          float64 `json:"wait_ms"`
+	RTTMS           float64 `json:"rtt_ms"`
+	PrefillMS       float64 `json:"prefill_ms"`
+	ResidentChunks  int     `json:"resident_chunks"`
+	RecomputeTokens int     `json:"recompute_tokens"`
+	CostMS          float64 `json:"cost_ms"`
+	Action          string  `json:"action"`
 }
 
-// MaxCandidates bounds the candidates of one decision.
+// MaxCandidates is the largest number of candidates of a decision.
 const MaxCandidates = 16
 
-// Decision is the outcome with its reasons.
+// Decision is the picked target, with the candidates and costs that explain it.
 type Decision struct {
-	Target     *Target // nil: no target may serve the query
-	Action     Action
-	Candidates [MaxCandidates]Candidate
-	N          int
-	FirstMS    float64 // predicted time to first token of the choice
-	Filtered   Filtered
+	Target        *Target // nil: no target can serve the query
+	Action        Action
+	Candidates    [MaxCandidates]Candidate
+	NumCandidates int
+	FirstTokenMS  float64 // predicted time to first token at the picked target, ms
+	Filtered      FilterCounts
 }
 
-// Filtered counts the targets that were passed over, by reason.
-type Filtered struct {
+// FilterCounts counts the targets that were not considered, by reason.
+type FilterCounts struct {
 	State   int `json:"state"`
 	Version int `json:"version"`
 	Adapter int `json:"adapter"`
 	Tried   int `json:"tried"`
 }
 
-// randomCandidates is the "two choices" beside the homes: they let a prompt
-// leave a home that is slow or busy.
-const randomCandidates = 2
+// numRandomCandidates is the number of random targets that are considered beside
+// the homes ("power of two choices"), so that a prompt can leave a home that is
+// slow or busy.
+const numRandomCandidates = 2
 
-// Pick decides one query.
+// Pick decides one query. It overwrites d.
 func Pick(s *Snapshot, q *Query, p Params, h Hints, d *Decision) {
 	*d = Decision{}
 	best := math.Inf(1)
-	pl := s.pools[poolKey{q.Model, q.Version}]
-	d.Filtered = s.passedOver(q.Model, pl)
-	if pl == nil {
+	pool := s.pools[poolKey{q.Model, q.Version}]
+	d.Filtered = s.filteredByPool(q.Model, pool)
+	if pool == nil {
 		return
 	}
 	if p.Policy != Cost {
-		pickBaseline(s, pl, q, p, h, d)
+		pickBaseline(s, pool, q, p, h, d)
 		return
 	}
 	var chosen [MaxCandidates]int32
-	n := gather(s, pl, q, p, &chosen, &d.Filtered)
-	first := firstHome(s, q, chosen[:n])
+	n := collectCandidates(s, pool, q, p, &chosen, &d.Filtered)
+	firstIndex := firstHome(s, q, chosen[:n])
 	for _, i := range chosen[:n] {
-		t := &s.Targets[i&^randomMark]
-		c, action, firstMS := predict(t, q, p, h)
-		c.Home = i&randomMark == 0
-		if i != first && c.Resident == 0 {
-			c.CostMS += stray(c.Home) * float64(q.Tokens) * p.PrefillMS
+		t := &s.Targets[i&^randomFlag]
+		c, action, firstTokenMS := predictCost(t, q, p, h)
+		c.Home = i&randomFlag == 0
+		if i != firstIndex && c.ResidentChunks == 0 {
+			c.CostMS += affinityPenalty(c.Home) * float64(q.PromptTokens) * p.PrefillMSPerToken
 		}
-		d.Candidates[d.N] = c
-		d.N++
+		d.Candidates[d.NumCandidates] = c
+		d.NumCandidates++
 		if c.CostMS < best {
-			best, d.Target, d.Action, d.FirstMS = c.CostMS, t, action, firstMS
+			best, d.Target, d.Action, d.FirstTokenMS = c.CostMS, t, action, firstTokenMS
 		}
 	}
 }
 
-// strayShare is the share of a prompt's prefill that the first home is trusted
-// to save where nothing is known of residency. So a prompt that returns through
-// another instance finds its cache, as long as the first home's queue is not
-// longer than that.
-const strayShare = 0.3
-
-// stray is the share of the prefill that a candidate other than the first home
-// is charged. Another home may hold the head that the root's prompts share; a
-// random target holds nothing.
-func stray(home bool) float64 {
+// affinityPenaltyShare is the share of a prompt's prefill time that the first home
+// is assumed to save when no residency is known. So a prompt that returns through
+// another instance goes to the target that holds its cache, unless waiting there
+// takes longer than this share.
+const affinityPenaltyShare = 0.3
+
+// affinityPenalty returns the share of the prefill time that is added to the cost
+// of a candidate other than the first home. Another home may hold the prefix that
+// the root's prompts have in common; a random target is assumed to hold nothing,
+// so it pays double.
+func affinityPenalty(home bool) float64 {
 	if home {
-		return strayShare
+		return affinityPenaltyShare
 	}
-	return 2 * strayShare
+	return 2 * affinityPenaltyShare
 }
 
-// firstHome orders the homes by the prompt's longest key: all prompts of a
-// root share its homes, each draft or session of them has its own first one.
+// firstHome returns the home with the highest rendezvous score for the prompt's
+// longest key, or -1 without keys. Prompts with the same root have the same homes,
+// but each draft or session among them has its own first home.
 func firstHome(s *Snapshot, q *Query, chosen []int32) int32 {
 	if len(q.Keys) == 0 {
 		return -1
 	}
-	last := binary.LittleEndian.Uint64(q.Keys[len(q.Keys)-1][:8])
-	best, top := int32(-1), uint64(0)
+	longestKey := binary.LittleEndian.Uint64(q.Keys[len(q.Keys)-1][:8])
+	best, topScore := int32(-1), uint64(0)
 	for _, i := range chosen {
-		if i&randomMark != 0 {
+		if i&randomFlag != 0 {
 			continue
 		}
-		if score := mix(last ^ xxhash.Sum64String(s.Targets[i].Name)); best < 0 || score > top {
-			best, top = i, score
+		if score := splitMix64(longestKey ^ xxhash.Sum64String(s.Targets[i].Name)); best < 0 || score > topScore {
+			best, topScore = i, score
 		}
 	}
 	return best
 }
 
-// randomMark tells a random candidate's index from a home's.
-const randomMark = 1 << 30
+// randomFlag is set in the index of a random candidate, and not in a home's.
+const randomFlag = 1 << 30
 
-// gather lists the candidates: the first homes of the prompt's root that pass
-// the filter, then some at random. When no home passes, the whole pool is
-// gone through, so that there is a candidate whenever any target passes.
-func gather(s *Snapshot, pl *pool, q *Query, p Params, out *[MaxCandidates]int32, f *Filtered) int {
-	want := min(max(p.Candidates, 1), MaxCandidates-randomCandidates)
+// collectCandidates lists the best eligible homes of the prompt's root, then
+// eligible random targets. If there is none, it searches the whole pool, so that a
+// candidate is found whenever any target is eligible.
+func collectCandidates(s *Snapshot, pool *targetPool, q *Query, p Params, out *[MaxCandidates]int32, f *FilterCounts) int {
+	maxHomes := min(max(p.HomeCandidates, 1), MaxCandidates-numRandomCandidates)
 	n := 0
-	for _, i := range pl.homes(rootHash(q)) {
-		if n < want && i >= 0 && admit(&s.Targets[i], q, f) {
+	for _, i := range pool.homesFor(rootHash(q)) {
+		if n < maxHomes && i >= 0 && eligible(&s.Targets[i], q, f) {
 			out[n] = i
 			n++
 		}
 	}
-	rnd := q.Rand
-	for range randomCandidates {
-		rnd = mix(rnd)
-		i := pl.ready[rnd%uint64(len(pl.ready))]
-		if !seen(out[:n], i) && admit(&s.Targets[i], q, nil) {
-			out[n] = i | randomMark
+	random := q.Seed
+	for range numRandomCandidates {
+		random = splitMix64(random)
+		i := pool.ready[random%uint64(len(pool.ready))]
+		if !containsIndex(out[:n], i) && eligible(&s.Targets[i], q, nil) {
+			out[n] = i | randomFlag
 			n++
 		}
 	}
 	if n > 0 {
 		return n
 	}
-	best := scored{index: -1}
-	for _, i := range pl.ready {
+	best := scoredTarget{index: -1}
+	for _, i := range pool.ready {
 		t := &s.Targets[i]
-		if !admit(t, q, f) {
+		if !eligible(t, q, f) {
 			continue
 		}
-		if score := mix(rootHash(q) ^ xxhash.Sum64String(t.Name)); best.index < 0 || score > best.score {
-			best = scored{score, i}
+		if score := splitMix64(rootHash(q) ^ xxhash.Sum64String(t.Name)); best.index < 0 || score > best.score {
+			best = scoredTarget{score, i}
 		}
 	}
 	if best.index < 0 {
@@ -242,42 +246,43 @@
 	return 1
 }
 
-func seen(list []int32, index int32) bool {
-	for _, i := range list {
-		if i&^randomMark == index {
+func containsIndex(indices []int32, index int32) bool {
+	for _, i := range indices {
+		if i&^randomFlag == index {
 			return true
 		}
 	}
 	return false
 }
 
-// rootHash identifies the prompt's first chunk; a prompt shorter than a chunk
-// has no cache worth a home and is spread at random.
+// rootHash returns a hash of the prompt's first chunk. A prompt shorter than a
+// chunk has no cache to reuse and gets a random hash.
 func rootHash(q *Query) uint64 {
 	if len(q.Keys) == 0 {
-		return mix(q.Rand)
+		return splitMix64(q.Seed)
 	}
 	return binary.LittleEndian.Uint64(q.Keys[0][:8]) // a key is a hash already
 }
 
-// mix is the finalizer of SplitMix64: every input bit changes every output bit.
-func mix(x uint64) uint64 {
+// splitMix64 is the finalizer of SplitMix64: each input bit affects every output
+// bit.
+func splitMix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
 	x = (x ^ (x >> 27)) * 0x94d049bb133111eb
 	return x ^ (x >> 31)
 }
 
-// admit is the part of the filter that depends on the query: adapter, and not
-// yet tried. State, model and version are settled by the pool.
-func admit(t *Target, q *Query, f *Filtered) bool {
+// eligible applies the part of the filter that depends on the query: adapter,
+// targets already tried, and zone. The pool covers state, model and version.
+func eligible(t *Target, q *Query, f *FilterCounts) bool {
 	if f == nil {
-		f = &Filtered{}
+		f = &FilterCounts{}
 	}
 	switch {
-	case q.Adapter != "" && !has(t.Adapters, q.Adapter):
+	case q.Adapter != "" && !containsString(t.Adapters, q.Adapter):
 		f.Adapter++
-	case has(q.Exclude, t.Name), q.AvoidZone != "" && t.Zone == q.AvoidZone:
+	case containsString(q.ExcludeTargets, t.Name), q.ExcludeZone != "" && t.Zone == q.ExcludeZone:
 		f.Tried++
 	default:
 		return true
@@ -285,7 +290,7 @@
 	return false
 }
 
-func has(list []string, s string) bool {
+func containsString(list []string, s string) bool {
 	for _, x := range list {
 		if x == s {
 			return true
@@ -294,49 +299,51 @@
 	return false
 }
 
-// predict is the one cost model:
-// wait + rtt + min(recompute, restore) + weight * recomputed tokens.
-func predict(t *Target, q *Query, p Params, h Hints) (Candidate, Action, float64) {
+// predictCost is the cost model of all policies: wait + RTT + min(recompute,
+// restore) + RecomputeWeightMS * recomputed tokens. Its last result is the
+// predicted time to first token, in ms.
+func predictCost(t *Target, q *Query, p Params, h Hints) (Candidate, Action, float64) {
 	resident := h.Resident(t.Name, q.Keys)
-	covered := resident * prefix.ChunkBytes / prefix.BytesPerToken
-	missing := max(q.Tokens-covered, 0)
-	compute := float64(missing) * p.PrefillMS
+	residentTokens := resident * prefix.ChunkBytes / prefix.BytesPerToken
+	missingTokens := max(q.PromptTokens-residentTokens, 0)
+	computeMS := float64(missingTokens) * p.PrefillMSPerToken
 	action := Recompute
 	if resident > 0 && resident == len(q.Keys) {
 		action = Reuse
 	}
-	recomputed := missing
-	if q.Stored > resident {
-		fetch := q.Stored - resident
-		left := max(q.Tokens-q.Stored*prefix.ChunkBytes/prefix.BytesPerToken, 0)
-		restore := q.StoreMS*float64(fetch)/float64(q.Stored) + float64(left)*p.PrefillMS
-		if restore+p.RecomputeWeight*float64(left) < compute+p.RecomputeWeight*float64(missing) {
-			compute, recomputed, action = restore, left, Restore
+	recomputeTokens := missingTokens
+	if q.StoredChunks > resident {
+		fetchChunks := q.StoredChunks - resident
+		remainingTokens := max(q.PromptTokens-q.StoredChunks*prefix.ChunkBytes/prefix.BytesPerToken, 0)
+		restoreMS := q.RestoreMS*float64(fetchChunks)/float64(q.StoredChunks) + float64(remainingTokens)*p.PrefillMSPerToken
+		if restoreMS+p.RecomputeWeightMS*float64(remainingTokens) < computeMS+p.RecomputeWeightMS*float64(missingTokens) {
+			computeMS, recomputeTokens, action = restoreMS, remainingTokens, Restore
 		}
 	}
-	wait := waitMS(t, p, h)
-	first := wait + t.RTT + compute
-	cost := first + p.RecomputeWeight*float64(recomputed)
-	return Candidate{Target: t.Name, WaitMS: wait, RTTMS: t.RTT, PrefillMS: compute, Resident: resident,
-		Recompute: recomputed, CostMS: cost, Action: action.String()}, action, first
+	waitMS := predictWaitMS(t, p, h)
+	firstTokenMS := waitMS + t.RTTMS + computeMS
+	cost := firstTokenMS + p.RecomputeWeightMS*float64(recomputeTokens)
+	return Candidate{Target: t.Name, WaitMS: waitMS, RTTMS: t.RTTMS, PrefillMS: computeMS, ResidentChunks: resident,
+		RecomputeTokens: recomputeTokens, CostMS: cost, Action: action.String()}, action, firstTokenMS
 }
 
-// waitMS predicts the queue in front of a new prompt. A report is believed
-// less as it ages; this instance's own work since then is added in full.
-func waitMS(t *Target, p Params, h Hints) float64 {
+// predictWaitMS predicts the queueing time of a new prompt, in ms. The reported
+// load counts less as the report ages; this instance's own requests since then
+// count in full. The larger of the two is used.
+func predictWaitMS(t *Target, p Params, h Hints) float64 {
 	runs, tokens := h.Inflight(t.Name)
-	trust := reportHalfLife / (reportHalfLife + t.ReportMS)
-	queue := max(float64(t.Queued)*trust, float64(tokens))
-	running := max(float64(t.Running)*trust, float64(runs))
-	wait := queue*p.PrefillMS + running*p.DecodeMS
-	if over := running - float64(t.Slots); over > 0 {
-		wait += over * fullSlotMS
+	reportWeight := reportHalfLifeMS / (reportHalfLifeMS + t.ReportAgeMS)
+	queuedTokens := max(float64(t.QueuedTokens)*reportWeight, float64(tokens))
+	running := max(float64(t.Running)*reportWeight, float64(runs))
+	waitMS := queuedTokens*p.PrefillMSPerToken + running*p.DecodeMSPerRequest
+	if excess := running - float64(t.Slots); excess > 0 {
+		waitMS += excess * overCapacityMS
 	}
-	return wait
+	return waitMS
 }
 
-// Constants of the wait model.
+// Constants of the wait prediction.
 const (
-	reportHalfLife = 2000.0 // ms after which a report counts half
-	fullSlotMS     = 50.0   // ms for each run beyond the batch
+	reportHalfLifeMS = 2000.0 // age at which a load report has half its weight
+	overCapacityMS   = 50.0   // wait for each running request beyond the target's slots
 )
--- a/internal/core/route/seed_test.go
+++ b/internal/core/route/seed_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// The properties are checked on the same draws each run.
+// A fixed seed makes the property tests draw the same values in each run.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/internal/core/route/snapshot.go
+++ b/internal/core/route/snapshot.go
@@ -7,70 +7,73 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Snapshot is an immutable view of all targets, indexed so that one decision
-// costs the same whatever their number.
+// Snapshot is an immutable view of all targets, indexed so that the time of a
+// decision does not depend on their number.
 type Snapshot struct {
 	Targets []Target
-	pools   map[poolKey]*pool
-	models  map[string]modelCount
+	pools   map[poolKey]*targetPool
+	models  map[string]modelCounts
 }
 
-// modelCount counts a model's targets, for the why-record.
-type modelCount struct{ total, ready int }
+// modelCounts counts a model's targets, for the counts of filtered targets in the
+// explain record.
+type modelCounts struct{ total, ready int }
 
 type poolKey struct{ model, version string }
 
-// pool is the ready targets of one model at one version. Prompt roots fall
-// into buckets; for each bucket the targets with the highest rendezvous scores
-// are worked out once, when the pool's members change, not at each decision.
-type pool struct {
-	ready   []int32
-	members uint64  // fingerprint of ready: indices and names
-	table   []int32 // buckets * homesKept indices, best first; -1: no more
+// targetPool is the set of ready targets of one model at one weight version.
+// Prompt roots are hashed to buckets. The targets with the highest rendezvous
+// scores of each bucket are computed when the pool's members change, not at each
+// decision.
+type targetPool struct {
+	ready       []int32
+	fingerprint uint64  // hash of the indices and names in ready
+	homeTable   []int32 // bucketCount rows of homesPerBucket indices, best first; -1: none
 }
 
-// Bounds of a pool's table: 4096 * 8 * 4 bytes = 128 KiB a model and version.
+// Size of a pool's home table: 4096 * 8 * 4 bytes = 128 KiB for each model and
+// version.
 const (
-	buckets   = 4096
-	homesKept = 8
+	bucketCount    = 4096
+	homesPerBucket = 8
 )
 
-// NewSnapshot indexes targets; the slice must not change afterwards. Tables of
-// pools that have the same members in prev are taken over from it.
+// NewSnapshot indexes targets; the slice must not change afterwards. Home tables
+// of pools with the same members in prev are reused.
 func NewSnapshot(targets []Target, prev *Snapshot) *Snapshot {
-	s := &Snapshot{Targets: targets, pools: map[poolKey]*pool{}, models: map[string]modelCount{}}
+	s := &Snapshot{Targets: targets, pools: map[poolKey]*targetPool{}, models: map[string]modelCounts{}}
 	for i := range targets {
 		t := &targets[i]
 		c := s.models[t.Model]
 		c.total++
 		if t.State == Ready {
 			c.ready++
-			s.pool(t).ready = append(s.pool(t).ready, int32(i))
+			s.poolFor(t).ready = append(s.poolFor(t).ready, int32(i))
 		}
 		s.models[t.Model] = c
 	}
 	for key, p := range s.pools {
-		p.members = fingerprint(targets, p.ready)
-		if prev != nil && prev.pools[key] != nil && prev.pools[key].members == p.members {
-			p.table = prev.pools[key].table
+		p.fingerprint = readyFingerprint(targets, p.ready)
+		if prev != nil && prev.pools[key] != nil && prev.pools[key].fingerprint == p.fingerprint {
+			p.homeTable = prev.pools[key].homeTable
 			continue
 		}
-		p.table = homeTable(targets, p.ready)
+		p.homeTable = buildHomeTable(targets, p.ready)
 	}
 	return s
 }
 
-func (s *Snapshot) pool(t *Target) *pool {
+func (s *Snapshot) poolFor(t *Target) *targetPool {
 	key := poolKey{t.Model, t.Version}
 	p := s.pools[key]
 	if p == nil {
-		p = &pool{}
+		p = &targetPool{}
 		s.pools[key] = p
 	}
 	return p
 }
 
-func fingerprint(targets []Target, ready []int32) uint64 {
+func readyFingerprint(targets []Target, ready []int32) uint64 {
 	var h xxhash.Digest
 	h.Reset()
 	var b [4]byte
@@ -82,26 +85,26 @@
 	return h.Sum64()
 }
 
-type scored struct {
+type scoredTarget struct {
 	score uint64
 	index int32
 }
 
-// homeTable works out the best targets of each bucket.
-func homeTable(targets []Target, ready []int32) []int32 {
+// buildHomeTable computes the best targets of each bucket.
+func buildHomeTable(targets []Target, ready []int32) []int32 {
 	hashes := make([]uint64, len(ready))
 	for n, i := range ready {
 		hashes[n] = xxhash.Sum64String(targets[i].Name)
 	}
-	table := make([]int32, buckets*homesKept)
-	for b := range buckets {
-		var top [homesKept]scored
+	table := make([]int32, bucketCount*homesPerBucket)
+	for b := range bucketCount {
+		var top [homesPerBucket]scoredTarget
 		n := 0
-		root := mix(uint64(b))
+		root := splitMix64(uint64(b))
 		for k, i := range ready {
-			n = insert(&top, n, scored{mix(root ^ hashes[k]), i})
+			n = insertByScore(&top, n, scoredTarget{splitMix64(root ^ hashes[k]), i})
 		}
-		row := table[b*homesKept : (b+1)*homesKept]
+		row := table[b*homesPerBucket : (b+1)*homesPerBucket]
 		for k := range row {
 			row[k] = -1
 			if k < n {
@@ -112,37 +115,38 @@
 	return table
 }
 
-// insert keeps top sorted by falling score.
-func insert(top *[homesKept]scored, n int, s scored) int {
-	if n == homesKept && s.score <= top[n-1].score {
+// insertByScore inserts into the first n entries of top, sorted by descending
+// score, and returns their new number.
+func insertByScore(top *[homesPerBucket]scoredTarget, n int, target scoredTarget) int {
+	if n == homesPerBucket && target.score <= top[n-1].score {
 		return n
 	}
-	if n < homesKept {
+	if n < homesPerBucket {
 		n++
 	}
 	i := n - 1
-	for i > 0 && top[i-1].score < s.score {
+	for i > 0 && top[i-1].score < target.score {
 		top[i] = top[i-1]
 		i--
 	}
-	top[i] = s
+	top[i] = target
 	return n
 }
 
-// homes returns the indices of a root's targets, best first, padded with -1.
-func (p *pool) homes(root uint64) []int32 {
-	b := int(root % buckets)
-	return p.table[b*homesKept : (b+1)*homesKept]
+// homesFor returns the indices of a root's homes, best first, padded with -1.
+func (p *targetPool) homesFor(root uint64) []int32 {
+	b := int(root % bucketCount)
+	return p.homeTable[b*homesPerBucket : (b+1)*homesPerBucket]
 }
 
-// passedOver counts what never was a candidate.
-func (s *Snapshot) passedOver(model string, p *pool) Filtered {
+// filteredByPool counts the model's targets outside the pool, by reason.
+func (s *Snapshot) filteredByPool(model string, p *targetPool) FilterCounts {
 	c := s.models[model]
-	in := 0
+	inPool := 0
 	if p != nil {
-		in = len(p.ready)
+		inPool = len(p.ready)
 	}
-	return Filtered{State: c.total - c.ready, Version: c.ready - in}
+	return FilterCounts{State: c.total - c.ready, Version: c.ready - inPool}
 }
 
 // Find returns the target with the given name, or nil.
@@ -154,16 +158,16 @@
 	return &s.Targets[i]
 }
 
-// Serves says whether any ready target serves a model at a version.
+// Serves reports whether any ready target serves a model at a version.
 func (s *Snapshot) Serves(model, version string) bool {
 	return s.pools[poolKey{model, version}] != nil
 }
 
-// Version picks the weight version of a new request. While a rollout is under
-// way several allowed versions are served; a prompt takes the wanted one if its
-// root falls into that version's share of the ready targets. So load follows
-// capacity, and as the share grows each prompt changes version once.
-func Version(s *Snapshot, model, wanted string, allowed []string, root uint64) string {
+// ChooseVersion picks the weight version of a new request. During a rollout
+// several allowed versions are served, and a prompt takes the wanted version if
+// its root hash falls into that version's share of the ready targets. So load
+// follows capacity, and each prompt changes version only once as the share grows.
+func ChooseVersion(s *Snapshot, model, wanted string, allowed []string, root uint64) string {
 	total, other := 0, ""
 	for _, v := range allowed {
 		p := s.pools[poolKey{model, v}]
@@ -178,11 +182,11 @@
 	if other == "" {
 		return wanted
 	}
-	atWanted := 0
+	readyAtWanted := 0
 	if p := s.pools[poolKey{model, wanted}]; p != nil {
-		atWanted = len(p.ready)
+		readyAtWanted = len(p.ready)
 	}
-	if mix(root)%uint64(total) < uint64(atWanted) {
+	if splitMix64(root)%uint64(total) < uint64(readyAtWanted) {
 		return wanted
 	}
 	return other
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -199,7 +199,7 @@
 	}
 	var targets []rollout.Target
 	for _, t := range v.Targets.Targets {
-		if t.State == route.Leaving || t.State == route.Suspect || t.ReportMS > maxReportMS {
+		if t.State == route.Leaving || t.State == route.Suspect || t.ReportAgeMS > maxReportMS {
 			continue // its word is old, or it will not obey
 		}
 		targets = append(targets, rollout.Target{Name: t.Name, Model: t.Model, Version: t.Version, Ready: t.State == route.Ready,
--- a/internal/daemon/state.go
+++ b/internal/daemon/state.go
@@ -101,7 +101,7 @@
 	out := []operator.Target{}
 	for _, t := range d.view.Load().Targets.Targets {
 		out = append(out, operator.Target{Name: t.Name, Address: t.Address, Zone: t.Zone, Model: t.Model, Version: t.Version,
-			Adapters: t.Adapters, State: t.State.String(), Running: t.Running, Queued: t.Queued, ReportMS: t.ReportMS, RTTMS: t.RTT})
+			Adapters: t.Adapters, State: t.State.String(), Running: t.Running, Queued: t.QueuedTokens, ReportMS: t.ReportAgeMS, RTTMS: t.RTTMS})
 	}
 	return out
 }
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -17,7 +17,7 @@
 func (l *Live) pin() {
 	m := l.req.Model
 	root := prefix.RootHash(l.req.Customer.Secret, l.req.Canonical)
-	l.pinTo(route.Version(l.view.Targets, m.Name, m.Version, m.Versions, root))
+	l.pinTo(route.ChooseVersion(l.view.Targets, m.Name, m.Version, m.Versions, root))
 }
 
 func (l *Live) pinTo(version string) {
@@ -49,11 +49,11 @@
 
 // place asks for a target and writes down why it is the one.
 func (l *Live) place() (*explain.Attempt, target.Extension, bool) {
-	q := route.Query{Model: l.req.Model.Name, Version: l.version, Adapter: l.req.Adapter, Keys: l.keys, Tokens: l.tokens,
-		Rand: rand.Uint64(), Turn: l.d.turn.Add(1)}
+	q := route.Query{Model: l.req.Model.Name, Version: l.version, Adapter: l.req.Adapter, Keys: l.keys, PromptTokens: l.tokens,
+		Seed: rand.Uint64(), Sequence: l.d.turn.Add(1)}
 	dec, k := l.decide(q)
-	att := explain.Attempt{StartMS: l.sinceMS(), Filtered: dec.Filtered, Action: dec.Action.String(), PredictedMS: dec.FirstMS,
-		Candidates: append([]route.Candidate(nil), dec.Candidates[:dec.N]...)}
+	att := explain.Attempt{StartMS: l.sinceMS(), Filtered: dec.Filtered, Action: dec.Action.String(), PredictedMS: dec.FirstTokenMS,
+		Candidates: append([]route.Candidate(nil), dec.Candidates[:dec.NumCandidates]...)}
 	if dec.Target != nil {
 		l.target, att.Target = dec.Target, dec.Target.Name
 		l.tried = append(l.tried, dec.Target.Name)
@@ -81,8 +81,8 @@
 	if dec.Target == nil || !l.worthLookup(&dec) {
 		return dec, k
 	}
-	if k = l.d.lookup(l.ctx, l.view.Config, l.keys, l.names, dec.FirstMS); k.found.Covered > 0 {
-		q.Stored, q.StoreMS = k.found.Covered, k.ms
+	if k = l.d.lookup(l.ctx, l.view.Config, l.keys, l.names, dec.FirstTokenMS); k.found.Covered > 0 {
+		q.StoredChunks, q.RestoreMS = k.found.Covered, k.ms
 	}
 	if k.found.Covered > 0 || l.d.ejected.InBackoff(dec.Target.Name) {
 		l.chooseAgain(&q, &dec, sick)
@@ -105,7 +105,7 @@
 		exclude []string
 	}{{l.failedZone, well}, {"", well}, {"", l.tried}, {"", last}}
 	for i, b := range bounds {
-		q.AvoidZone, q.Exclude = b.zone, slices.Concat(resting, b.exclude)
+		q.ExcludeZone, q.ExcludeTargets = b.zone, slices.Concat(resting, b.exclude)
 		route.Pick(l.view.Targets, q, l.params(), l.d.beliefs(), dec)
 		if dec.Target == nil {
 			continue
@@ -121,7 +121,7 @@
 // chooseAgain picks within the bounds of the choice before, without what has asked for rest
 // since, or else chooses anew.
 func (l *Live) chooseAgain(q *route.Query, dec *route.Decision, sick []string) {
-	q.Exclude = append(asking(l.d.ejected), q.Exclude...)
+	q.ExcludeTargets = append(asking(l.d.ejected), q.ExcludeTargets...)
 	route.Pick(l.view.Targets, q, l.params(), l.d.beliefs(), dec)
 	if dec.Target == nil {
 		l.choose(q, dec, sick)
@@ -133,7 +133,7 @@
 	if len(resting) == 0 {
 		return false
 	}
-	q.AvoidZone, q.Exclude = "", nil
+	q.ExcludeZone, q.ExcludeTargets = "", nil
 	var dec route.Decision
 	route.Pick(l.view.Targets, &q, l.params(), l.d.beliefs(), &dec)
 	return dec.Target != nil && slices.Contains(resting, dec.Target.Name)
@@ -167,17 +167,17 @@
 	if len(l.keys) == 0 || dec.Action == route.Reuse || l.view.Policy.NoStores {
 		return false
 	}
-	for i := range dec.N {
+	for i := range dec.NumCandidates {
 		if dec.Candidates[i].Target == dec.Target.Name {
-			return dec.Candidates[i].Recompute >= l.view.Policy.KeepTokens/2
+			return dec.Candidates[i].RecomputeTokens >= l.view.Policy.KeepTokens/2
 		}
 	}
 	return false
 }
 
 func (l *Live) params() route.Params {
-	return route.Params{Policy: route.Policy(l.view.Policy.Router), Candidates: l.view.Policy.Candidates, RecomputeWeight: l.view.Policy.RecomputeWeight,
-		PrefillMS: l.req.Model.PrefillUS / 1000, DecodeMS: decodeMS}
+	return route.Params{Policy: route.Policy(l.view.Policy.Router), HomeCandidates: l.view.Policy.Candidates, RecomputeWeightMS: l.view.Policy.RecomputeWeight,
+		PrefillMSPerToken: l.req.Model.PrefillUS / 1000, DecodeMSPerRequest: decodeMS}
 }
 
 // decodeMS is what one running request adds to another's first token, in ms.
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -36,15 +36,15 @@
 
 // Attempt is one attempt and the reasons for its choice of target.
 type Attempt struct {
-	Target      string            `json:"target"`
-	Action      string            `json:"action"` // recompute, reuse, restore
-	Store       string            `json:"store,omitempty"`
-	PredictedMS float64           `json:"predicted_first_ms"`
-	Candidates  []route.Candidate `json:"candidates"`
-	Filtered    route.Filtered    `json:"filtered"`
-	StartMS     float64           `json:"start_ms"` // since arrival
-	Result      string            `json:"ended"`
-	Next        string            `json:"next,omitempty"` // retry, resume
+	Target      string             `json:"target"`
+	Action      string             `json:"action"` // recompute, reuse, restore
+	Store       string             `json:"store,omitempty"`
+	PredictedMS float64            `json:"predicted_first_ms"`
+	Candidates  []route.Candidate  `json:"candidates"`
+	Filtered    route.FilterCounts `json:"filtered"`
+	StartMS     float64            `json:"start_ms"` // since arrival
+	Result      string             `json:"ended"`
+	Next        string             `json:"next,omitempty"` // retry, resume
 }
 
 // LastTarget returns the target of the last attempt, or "" if there is none.
--- a/internal/standin/measure/slopes.go
+++ b/internal/standin/measure/slopes.go
@@ -57,13 +57,13 @@
 	keys := prefix.NewSeed(nil, "m", "v", "").Chain(strings.Repeat("x", 16*prefix.ChunkBytes), nil)
 	for _, n := range targetSizes {
 		snap := route.NewSnapshot(someTargets(n), nil)
-		q := route.Query{Model: "m", Version: "v", Keys: keys, Tokens: 16 << 10}
+		q := route.Query{Model: "m", Version: "v", Keys: keys, PromptTokens: 16 << 10}
 		var d route.Decision
 		var h route.Hints = noHints{}
 		s.X = append(s.X, float64(n))
 		s.Y = append(s.Y, timePer(func() {
-			q.Rand++
-			route.Pick(snap, &q, route.Params{Candidates: 3, PrefillMS: 0.05}, h, &d)
+			q.Seed++
+			route.Pick(snap, &q, route.Params{HomeCandidates: 3, PrefillMSPerToken: 0.05}, h, &d)
 		}))
 	}
 	return s
--- a/internal/tool/state.go
+++ b/internal/tool/state.go
@@ -248,7 +248,7 @@
 		f := a.Filtered
 		fmt.Fprintf(w, "  passed over\tstate %d, version %d, adapter %d, tried %d\n", f.State, f.Version, f.Adapter, f.Tried)
 		for _, c := range a.Candidates {
-			fmt.Fprintf(w, "  candidate\t%s\thome %v\twait %.1f + rtt %.1f + prefill %.1f ms\trecompute %d\tcost %.1f\n", c.Target, c.Home, c.WaitMS, c.RTTMS, c.PrefillMS, c.Recompute, c.CostMS)
+			fmt.Fprintf(w, "  candidate\t%s\thome %v\twait %.1f + rtt %.1f + prefill %.1f ms\trecompute %d\tcost %.1f\n", c.Target, c.Home, c.WaitMS, c.RTTMS, c.PrefillMS, c.RecomputeTokens, c.CostMS)
 		}
 	}
 }
