--- a/internal/core/observe/observe.go
+++ b/internal/core/observe/observe.go
@@ -1,12 +1,11 @@
-// Package observe turns what is heard about targets into their routing state.
-// It is pure: own probes, other instances' digests, the lagging list and the
-// configuration go in with the time they were met; a list of route.Target
-// comes out.
+// Package observe derives the routing state of targets from probes, peers'
+// digests, the target list and the configuration. It is pure: all of these are
+// passed in with their times, and the result is a list of route.Target.
 //
-// Each target is probed by a few instances only (see Observers), which tell the
-// others by digests on messages that are sent anyway. A change of state spreads
-// at once, a mere refresh at a pace that the number of targets sets, so that
-// the cost an instance stays bounded.
+// Only a few instances probe each target (see Observers). They inform the others
+// by digests on messages that are sent anyway. A changed state is sent in the next
+// messages; an unchanged one is refreshed at an interval that grows with the
+// number of targets, so that the cost for each instance stays bounded.
 package observe
 
 import (
@@ -19,38 +18,39 @@
 	"github.com/shedhoist/shedhoist/internal/core/route"
 )
 
-// Params are the tracker's bounds.
+// Params are the thresholds and rates of a Tracker.
 type Params struct {
-	Failures int           // consecutive failed probes until a target is suspect
-	Silence  time.Duration // age of the last report at which a target is suspect
-	Digests  int           // digests on one message
-	Refresh  time.Duration // least time between two refreshes of one target
-	PerSec   float64       // refreshes a second over all targets
+	FailureThreshold   int           // consecutive failed probes after which a target is suspect
+	ReportTimeout      time.Duration // age of the newest report at which a target is suspect; see reportTimeout
+	MaxDigests         int           // maximum number of digests in a message
+	MinRefreshInterval time.Duration // minimum time between two refreshes of a target
+	RefreshesPerSecond float64       // maximum rate of refreshes for all targets together
 }
 
-// messagesPerBeat is how many messages with digests an instance writes in one
-// heartbeat period: a probe, and on the average an answer to one.
-const messagesPerBeat = 2
-
-// ParamsFor suits members that probe one another every beat. The rate of
-// refreshes is what the messages can carry, each told spreadTimes: a higher one
-// would only make every word older on its way.
-func ParamsFor(beat time.Duration) Params {
-	p := Params{Failures: 3, Silence: 20 * beat, Digests: 10, Refresh: beat / 2}
-	p.PerSec = messagesPerBeat / beat.Seconds() * float64(p.Digests) / spreadTimes
+// messagesPerHeartbeat is how many messages with digests an instance sends in a
+// heartbeat period: a probe of a peer and, on average, a reply to one.
+const messagesPerHeartbeat = 2
+
+// ParamsFor returns parameters for members that probe one another once a
+// heartbeat. The refresh rate is what the messages can carry if each update is
+// sent sendsPerUpdate times. At a higher rate, updates would queue up and be older
+// when they arrive.
+func ParamsFor(heartbeat time.Duration) Params {
+	p := Params{FailureThreshold: 3, ReportTimeout: 20 * heartbeat, MaxDigests: 10, MinRefreshInterval: heartbeat / 2}
+	p.RefreshesPerSecond = messagesPerHeartbeat / heartbeat.Seconds() * float64(p.MaxDigests) / sendsPerUpdate
 	return p
 }
 
-// DefaultParams suit a heartbeat of half a second: 10 refreshes a second.
+// DefaultParams are for a heartbeat of 0.5 s: 10 refreshes per second.
 var DefaultParams = ParamsFor(500 * time.Millisecond)
 
-// ObserverCount is how many instances probe one target.
+// ObserverCount is the number of instances that probe each target.
 const ObserverCount = 3
 
-// Observers returns the instances that probe a target: the highest rendezvous
-// scores, with the first two in different zones where there are any. Any
-// instance that sees the same members finds the same ones; when one dies the
-// next takes over by that alone.
+// Observers returns the instances that probe a target: those with the highest
+// rendezvous scores, the first two of them in different zones if possible.
+// Instances that see the same members compute the same observers, so when one
+// fails the next takes over without coordination.
 func Observers(target string, members []Observer) []string {
 	type scored struct {
 		Observer
@@ -76,243 +76,253 @@
 	return out
 }
 
-// Observer is an instance that may probe targets.
+// Observer is an instance that can probe targets.
 type Observer struct{ Name, Zone string }
 
-// Spec is a target as configured.
+// Spec is the configuration of a target.
 type Spec struct {
 	Name, Address, Zone, Model string
 	Slots                      int
 	Drained                    bool
 }
 
-// Report is a target's word about itself.
+// Report is what a target reports about itself in response to a probe.
 type Report struct {
-	Version  string
-	Adapters []string
-	Leaving  bool
-	Loading  bool
-	Running  int
-	Queued   int           // prompt tokens
-	Age      time.Duration // when it was read
-	RTT      time.Duration
+	Version      string
+	Adapters     []string
+	Leaving      bool
+	Loading      bool
+	Running      int
+	QueuedTokens int           // prompt tokens waiting
+	Age          time.Duration // time since the report was read
+	RTT          time.Duration
 }
 
-// Digest is what one instance tells another of a target.
+// Digest is the state of a target as instances send it to each other.
 type Digest struct {
-	Name     string   `cbor:"1,keyasint"`
-	Address  string   `cbor:"2,keyasint"`
-	AgeMS    uint32   `cbor:"3,keyasint"` // since an observer read it
-	Down     bool     `cbor:"4,keyasint,omitempty"`
-	Leaving  bool     `cbor:"5,keyasint,omitempty"`
-	Loading  bool     `cbor:"6,keyasint,omitempty"`
-	Version  string   `cbor:"7,keyasint,omitempty"`
-	Adapters []string `cbor:"8,keyasint,omitempty"`
-	Running  uint32   `cbor:"9,keyasint,omitempty"`
-	Queued   uint32   `cbor:"10,keyasint,omitempty"`
+	Name         string   `cbor:"1,keyasint"`
+	Address      string   `cbor:"2,keyasint"`
+	ReportAgeMS  uint32   `cbor:"3,keyasint"` // time since an observer read the report, ms
+	Down         bool     `cbor:"4,keyasint,omitempty"`
+	Leaving      bool     `cbor:"5,keyasint,omitempty"`
+	Loading      bool     `cbor:"6,keyasint,omitempty"`
+	Version      string   `cbor:"7,keyasint,omitempty"`
+	Adapters     []string `cbor:"8,keyasint,omitempty"`
+	Running      uint32   `cbor:"9,keyasint,omitempty"`
+	QueuedTokens uint32   `cbor:"10,keyasint,omitempty"`
 }
 
-// same says whether two digests call for the same routing.
-func (d *Digest) same(o *Digest) bool {
+// sameRouting reports whether two digests lead to the same routing state, version
+// and adapters.
+func (d *Digest) sameRouting(o *Digest) bool {
 	return d.Down == o.Down && d.Leaving == o.Leaving && d.Loading == o.Loading && d.Version == o.Version && slices.Equal(d.Adapters, o.Adapters)
 }
 
-type entry struct {
-	spec     Spec
-	known    Digest        // newest word, own or another's; AgeMS is unused
-	at       time.Time     // when an observer read it; zero before the first
-	rtt      time.Duration // of the last own probe
-	failures int           // own probes in a row
-	listed   bool          // the list says that it leaves
-	ejected  time.Time     // no new work until then
-	sent     int           // times the newest word was told on
-	spread   time.Time     // when it last became worth telling
+type targetEntry struct {
+	spec            Spec
+	latest          Digest        // newest digest, own or from a peer; ReportAgeMS is unused
+	reportedAt      time.Time     // when an observer read the newest report; zero if there is none
+	rtt             time.Duration // round-trip time of the last own probe
+	failedProbes    int           // consecutive failed own probes
+	listedAsLeaving bool          // the target list says that it is leaving
+	ejectedUntil    time.Time     // gets no new requests before this time
+	timesSent       int           // how often the newest digest was sent
+	lastQueuedAt    time.Time     // when the newest digest was last queued for sending
 }
 
-// Tracker holds all targets. It belongs to one goroutine.
+// Tracker holds the state of all targets. It is not safe for concurrent use.
 type Tracker struct {
-	p       Params
-	entries map[string]*entry
-	order   []string
+	params  Params
+	entries map[string]*targetEntry
+	names   []string
 }
 
 // New returns a tracker without targets.
-func New(p Params) *Tracker { return &Tracker{p: p, entries: map[string]*entry{}} }
+func New(p Params) *Tracker { return &Tracker{params: p, entries: map[string]*targetEntry{}} }
 
-// Declare replaces the set of targets. What is known of a target that keeps
-// its address is kept; a new address is a new machine.
-func (t *Tracker) Declare(specs []Spec) {
-	next := make(map[string]*entry, len(specs))
-	t.order = t.order[:0]
+// SetTargets replaces the set of targets. The state of a target is kept unless its
+// address changed, which means that it runs on a new machine.
+func (t *Tracker) SetTargets(specs []Spec) {
+	next := make(map[string]*targetEntry, len(specs))
+	t.names = t.names[:0]
 	for _, s := range specs {
 		e := t.entries[s.Name]
 		if e == nil || e.spec.Address != s.Address {
-			e = &entry{sent: spreadTimes}
+			e = &targetEntry{timesSent: sendsPerUpdate}
 		}
 		e.spec = s
 		next[s.Name] = e
-		t.order = append(t.order, s.Name)
+		t.names = append(t.names, s.Name)
 	}
 	t.entries = next
 }
 
-// Heard takes a report that this instance read itself at now.
-func (t *Tracker) Heard(name string, r Report, now time.Time) {
+// RecordReport records a report that this instance has read itself.
+func (t *Tracker) RecordReport(name string, r Report, now time.Time) {
 	e := t.entries[name]
 	if e == nil {
 		return
 	}
-	e.failures, e.rtt = 0, r.RTT
-	t.accept(e, Digest{Name: name, Address: e.spec.Address, Leaving: r.Leaving, Loading: r.Loading, Version: r.Version, Adapters: r.Adapters,
-		Running: uint32(max(r.Running, 0)), Queued: uint32(max(r.Queued, 0))}, now.Add(-r.Age), now)
+	e.failedProbes, e.rtt = 0, r.RTT
+	t.applyDigest(e, Digest{Name: name, Address: e.spec.Address, Leaving: r.Leaving, Loading: r.Loading, Version: r.Version, Adapters: r.Adapters,
+		Running: uint32(max(r.Running, 0)), QueuedTokens: uint32(max(r.QueuedTokens, 0))}, now.Add(-r.Age), now)
 }
 
-// Failed takes one own probe that brought no report. Enough of them in a row
-// are a word worth telling.
-func (t *Tracker) Failed(name string, now time.Time) {
+// RecordFailure records a failed probe by this instance. Once FailureThreshold
+// probes in a row have failed, the target is marked down and peers are informed.
+func (t *Tracker) RecordFailure(name string, now time.Time) {
 	e := t.entries[name]
 	if e == nil {
 		return
 	}
-	if e.failures++; e.failures >= t.p.Failures {
-		d := e.known
+	if e.failedProbes++; e.failedProbes >= t.params.FailureThreshold {
+		d := e.latest
 		d.Name, d.Address, d.Down = name, e.spec.Address, true
-		t.accept(e, d, now, now)
+		t.applyDigest(e, d, now, now)
 	}
 }
 
-// Told takes another instance's digests.
-func (t *Tracker) Told(digests []Digest, now time.Time) {
+// MergeDigests merges the digests of a peer. It ignores those for unknown targets
+// or old addresses, and those over the limits below.
+func (t *Tracker) MergeDigests(digests []Digest, now time.Time) {
 	for i := range digests {
 		d := digests[i]
 		e := t.entries[d.Name]
-		if e == nil || e.spec.Address != d.Address || len(d.Version) > maxText || len(d.Adapters) > maxAdapters {
+		if e == nil || e.spec.Address != d.Address || len(d.Version) > maxVersionBytes || len(d.Adapters) > maxAdapters {
 			continue
 		}
-		t.accept(e, d, now.Add(-time.Duration(d.AgeMS)*time.Millisecond), now)
+		t.applyDigest(e, d, now.Add(-time.Duration(d.ReportAgeMS)*time.Millisecond), now)
 	}
 }
 
-// Bounds on what another instance may say.
+// Limits on the contents of a peer's digest.
 const (
-	maxText     = 128
-	maxAdapters = 256
+	maxVersionBytes = 128
+	maxAdapters     = 256
 )
 
-// accept takes the newer word and decides whether it is worth telling on.
-func (t *Tracker) accept(e *entry, d Digest, at, now time.Time) {
-	if !at.After(e.at) && !e.at.IsZero() {
+// applyDigest stores a digest that is newer than the known one. It queues it for
+// sending if the state changed or a refresh is due.
+func (t *Tracker) applyDigest(e *targetEntry, d Digest, reportedAt, now time.Time) {
+	if !reportedAt.After(e.reportedAt) && !e.reportedAt.IsZero() {
 		return
 	}
-	changed := e.at.IsZero() || !e.known.same(&d)
-	e.known, e.at = d, at
-	if changed || now.Sub(e.spread) >= t.refresh() {
-		e.sent, e.spread = 0, now
+	changed := e.reportedAt.IsZero() || !e.latest.sameRouting(&d)
+	e.latest, e.reportedAt = d, reportedAt
+	if changed || now.Sub(e.lastQueuedAt) >= t.refreshInterval() {
+		e.timesSent, e.lastQueuedAt = 0, now
 	}
 }
 
-// refresh is the least time between two tellings of an unchanged target: it
-// grows with their number, so that all of them together keep to one rate.
-func (t *Tracker) refresh() time.Duration {
-	return max(t.p.Refresh, time.Duration(float64(len(t.order))/t.p.PerSec*float64(time.Second)))
+// refreshInterval is the minimum time between two refreshes of a target whose
+// state is unchanged. It grows with the number of targets, so that their total
+// rate stays within RefreshesPerSecond.
+func (t *Tracker) refreshInterval() time.Duration {
+	return max(t.params.MinRefreshInterval, time.Duration(float64(len(t.names))/t.params.RefreshesPerSecond*float64(time.Second)))
 }
 
-// silence is the age of the newest word at which a target is suspect. A target
-// that is down is told of at once; silence covers the death of its observers.
-func (t *Tracker) silence() time.Duration { return t.p.Silence + silenceRefreshes*t.refresh() }
+// reportTimeout is the age of the newest report at which a target is suspect. It
+// covers the failure of all observers of a target; a target that is down is
+// announced by its observers at once.
+func (t *Tracker) reportTimeout() time.Duration {
+	return t.params.ReportTimeout + timeoutRefreshes*t.refreshInterval()
+}
 
 const (
-	spreadTimes      = 4 // tellings of one word
-	silenceRefreshes = 3
+	sendsPerUpdate   = 4 // how many messages carry each update
+	timeoutRefreshes = 3 // refresh intervals added to Params.ReportTimeout
 )
 
-// News returns the digests for one message: those told least often first.
-func (t *Tracker) News(now time.Time) []Digest {
-	var fresh []*entry
-	for _, name := range t.order {
-		if e := t.entries[name]; e.sent < spreadTimes && !e.at.IsZero() {
-			fresh = append(fresh, e)
+// NextUpdates returns the digests for the next message, those sent least often
+// first.
+func (t *Tracker) NextUpdates(now time.Time) []Digest {
+	var pending []*targetEntry
+	for _, name := range t.names {
+		if e := t.entries[name]; e.timesSent < sendsPerUpdate && !e.reportedAt.IsZero() {
+			pending = append(pending, e)
 		}
 	}
-	slices.SortStableFunc(fresh, func(a, b *entry) int { return cmp.Compare(a.sent, b.sent) })
-	out := make([]Digest, 0, min(len(fresh), t.p.Digests))
-	for _, e := range fresh[:min(len(fresh), t.p.Digests)] {
-		d := e.known
-		d.AgeMS = uint32(max(now.Sub(e.at), 0) / time.Millisecond)
+	slices.SortStableFunc(pending, func(a, b *targetEntry) int { return cmp.Compare(a.timesSent, b.timesSent) })
+	out := make([]Digest, 0, min(len(pending), t.params.MaxDigests))
+	for _, e := range pending[:min(len(pending), t.params.MaxDigests)] {
+		d := e.latest
+		d.ReportAgeMS = uint32(max(now.Sub(e.reportedAt), 0) / time.Millisecond)
 		out = append(out, d)
-		e.sent++
+		e.timesSent++
 	}
 	return out
 }
 
-// All returns a digest of every target known, for an instance that joins.
-func (t *Tracker) All(now time.Time) []Digest {
+// AllDigests returns the digests of all observed targets, for an instance that
+// joins.
+func (t *Tracker) AllDigests(now time.Time) []Digest {
 	var out []Digest
-	for _, name := range t.order {
-		if e := t.entries[name]; !e.at.IsZero() {
-			d := e.known
-			d.AgeMS = uint32(max(now.Sub(e.at), 0) / time.Millisecond)
+	for _, name := range t.names {
+		if e := t.entries[name]; !e.reportedAt.IsZero() {
+			d := e.latest
+			d.ReportAgeMS = uint32(max(now.Sub(e.reportedAt), 0) / time.Millisecond)
 			out = append(out, d)
 		}
 	}
 	return out
 }
 
-// Eject keeps new work from a target until a time, because runs there fail.
+// Eject makes a target suspect until the given time, because requests to it fail.
 func (t *Tracker) Eject(name string, until time.Time) {
 	if e := t.entries[name]; e != nil {
-		e.ejected = until
+		e.ejectedUntil = until
 	}
 }
 
-// Listed takes the lagging list: the names that it says are leaving.
-func (t *Tracker) Listed(leaving map[string]bool) {
+// SetLeaving sets which targets are leaving according to the target list, which
+// may lag.
+func (t *Tracker) SetLeaving(leaving map[string]bool) {
 	for name, e := range t.entries {
-		e.listed = leaving[name]
+		e.listedAsLeaving = leaving[name]
 	}
 }
 
-// Settled says whether something was heard of every target, good or bad.
-func (t *Tracker) Settled() bool {
+// AllObserved reports whether each target has had a report or a failed probe.
+func (t *Tracker) AllObserved() bool {
 	for _, e := range t.entries {
-		if e.at.IsZero() && e.failures == 0 {
+		if e.reportedAt.IsZero() && e.failedProbes == 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// Targets returns the state of all targets at now, in the order declared.
+// Targets returns the state of all targets, in the order of SetTargets.
 func (t *Tracker) Targets(now time.Time) []route.Target {
-	out := make([]route.Target, 0, len(t.order))
-	for _, name := range t.order {
+	out := make([]route.Target, 0, len(t.names))
+	for _, name := range t.names {
 		e := t.entries[name]
-		k := &e.known
+		latest := &e.latest
 		out = append(out, route.Target{
 			Name: e.spec.Name, Address: e.spec.Address, Zone: e.spec.Zone, Model: e.spec.Model,
-			Version: k.Version, Adapters: k.Adapters, State: t.state(e, now), Slots: e.spec.Slots,
-			Running: int(k.Running), QueuedTokens: int(k.Queued), ReportAgeMS: ms(now.Sub(e.at)), RTTMS: ms(e.rtt) / 2,
+			Version: latest.Version, Adapters: latest.Adapters, State: t.routingState(e, now), Slots: e.spec.Slots,
+			Running: int(latest.Running), QueuedTokens: int(latest.QueuedTokens), ReportAgeMS: milliseconds(now.Sub(e.reportedAt)), RTTMS: milliseconds(e.rtt) / 2,
 		})
 	}
 	return out
 }
 
-// state applies the strongest word first: an operator's drain, then leaving by
-// any source, then failure and silence.
-func (t *Tracker) state(e *entry, now time.Time) route.State {
+// routingState checks the conditions in order of precedence: drained by an
+// operator, leaving by any source, not observed, failed or timed out, loading.
+func (t *Tracker) routingState(e *targetEntry, now time.Time) route.State {
 	switch {
 	case e.spec.Drained:
 		return route.Draining
-	case e.listed || e.known.Leaving:
+	case e.listedAsLeaving || e.latest.Leaving:
 		return route.Leaving
-	case e.at.IsZero() && e.failures == 0:
+	case e.reportedAt.IsZero() && e.failedProbes == 0:
 		return route.Unknown
-	case e.known.Down, e.at.IsZero(), now.Sub(e.at) > t.silence(), now.Before(e.ejected):
+	case e.latest.Down, e.reportedAt.IsZero(), now.Sub(e.reportedAt) > t.reportTimeout(), now.Before(e.ejectedUntil):
 		return route.Suspect
-	case e.known.Loading:
+	case e.latest.Loading:
 		return route.Unknown
 	}
 	return route.Ready
 }
 
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/core/observe/observe_test.go
+++ b/internal/core/observe/observe_test.go
@@ -12,8 +12,9 @@
 	"github.com/shedhoist/shedhoist/internal/core/route"
 )
 
-// TestState is the table of what is heard and what it makes of a target.
-func TestState(t *testing.T) {
+// TestRoutingState checks the state that follows from reports, failed probes,
+// digests, the target list and the configuration.
+func TestRoutingState(t *testing.T) {
 	start := time.Unix(100, 0)
 	at := func(d time.Duration) time.Time { return start.Add(d) }
 	good := observe.Report{Version: "v1"}
@@ -23,54 +24,61 @@
 		at   time.Duration
 		want route.State
 	}{
-		{"nothing heard", func(*observe.Tracker) {}, 0, route.Unknown},
-		{"a report", func(tr *observe.Tracker) { tr.Heard("t", good, start) }, time.Second, route.Ready},
-		{"an old report", func(tr *observe.Tracker) { tr.Heard("t", good, start) }, 11 * time.Second, route.Suspect},
-		{"two failures", func(tr *observe.Tracker) { tr.Heard("t", good, start); tr.Failed("t", start); tr.Failed("t", start) }, 0, route.Ready},
+		{"not observed", func(*observe.Tracker) {}, 0, route.Unknown},
+		{"a report", func(tr *observe.Tracker) { tr.RecordReport("t", good, start) }, time.Second, route.Ready},
+		{"a report past the timeout", func(tr *observe.Tracker) { tr.RecordReport("t", good, start) }, 11 * time.Second, route.Suspect},
+		{"two failures", func(tr *observe.Tracker) {
+			tr.RecordReport("t", good, start)
+			tr.RecordFailure("t", start)
+			tr.RecordFailure("t", start)
+		}, 0, route.Ready},
 		{"three failures", func(tr *observe.Tracker) {
-			tr.Heard("t", good, start.Add(-1))
-			tr.Failed("t", start)
-			tr.Failed("t", start)
-			tr.Failed("t", start)
+			tr.RecordReport("t", good, start.Add(-1))
+			tr.RecordFailure("t", start)
+			tr.RecordFailure("t", start)
+			tr.RecordFailure("t", start)
 		}, 0, route.Suspect},
-		{"back", func(tr *observe.Tracker) {
-			tr.Failed("t", start)
-			tr.Failed("t", start)
-			tr.Failed("t", start)
-			tr.Heard("t", good, at(time.Second))
+		{"a report after three failures", func(tr *observe.Tracker) {
+			tr.RecordFailure("t", start)
+			tr.RecordFailure("t", start)
+			tr.RecordFailure("t", start)
+			tr.RecordReport("t", good, at(time.Second))
 		}, time.Second, route.Ready},
-		{"told that it is down", func(tr *observe.Tracker) {
-			tr.Heard("t", good, start)
-			tr.Told([]observe.Digest{{Name: "t", Down: true, AgeMS: 100}}, at(time.Second))
+		{"newer digest: down", func(tr *observe.Tracker) {
+			tr.RecordReport("t", good, start)
+			tr.MergeDigests([]observe.Digest{{Name: "t", Down: true, ReportAgeMS: 100}}, at(time.Second))
 		}, time.Second, route.Suspect},
-		{"told late that it was down", func(tr *observe.Tracker) {
-			tr.Heard("t", good, start)
-			tr.Told([]observe.Digest{{Name: "t", Down: true, AgeMS: 2000}}, at(time.Second))
+		{"older digest: down", func(tr *observe.Tracker) {
+			tr.RecordReport("t", good, start)
+			tr.MergeDigests([]observe.Digest{{Name: "t", Down: true, ReportAgeMS: 2000}}, at(time.Second))
 		}, time.Second, route.Ready},
-		{"told of another machine of that name", func(tr *observe.Tracker) {
-			tr.Heard("t", good, start)
-			tr.Told([]observe.Digest{{Name: "t", Address: "old", Down: true}}, at(time.Second))
+		{"digest for another address", func(tr *observe.Tracker) {
+			tr.RecordReport("t", good, start)
+			tr.MergeDigests([]observe.Digest{{Name: "t", Address: "old", Down: true}}, at(time.Second))
 		}, time.Second, route.Ready},
-		{"one failure and never a report", func(tr *observe.Tracker) { tr.Failed("t", start) }, 0, route.Suspect},
-		{"its own word", func(tr *observe.Tracker) { tr.Heard("t", observe.Report{Leaving: true}, start) }, 0, route.Leaving},
-		{"the list", func(tr *observe.Tracker) { tr.Heard("t", good, start); tr.Listed(map[string]bool{"t": true}) }, 0, route.Leaving},
-		{"loading", func(tr *observe.Tracker) { tr.Heard("t", observe.Report{Loading: true}, start) }, 0, route.Unknown},
-		{"ejected", func(tr *observe.Tracker) { tr.Heard("t", good, start); tr.Eject("t", at(time.Second)) }, 0, route.Suspect},
-		{"no longer ejected", func(tr *observe.Tracker) { tr.Heard("t", good, start); tr.Eject("t", at(time.Second)) }, time.Second, route.Ready},
-		{"drained goes before all", func(tr *observe.Tracker) {
-			tr.Declare([]observe.Spec{{Name: "t", Drained: true}})
-			tr.Heard("t", observe.Report{Leaving: true}, start)
+		{"one failure without any report", func(tr *observe.Tracker) { tr.RecordFailure("t", start) }, 0, route.Suspect},
+		{"leaving by its own report", func(tr *observe.Tracker) { tr.RecordReport("t", observe.Report{Leaving: true}, start) }, 0, route.Leaving},
+		{"leaving by the target list", func(tr *observe.Tracker) {
+			tr.RecordReport("t", good, start)
+			tr.SetLeaving(map[string]bool{"t": true})
+		}, 0, route.Leaving},
+		{"loading", func(tr *observe.Tracker) { tr.RecordReport("t", observe.Report{Loading: true}, start) }, 0, route.Unknown},
+		{"while ejected", func(tr *observe.Tracker) { tr.RecordReport("t", good, start); tr.Eject("t", at(time.Second)) }, 0, route.Suspect},
+		{"after the ejection", func(tr *observe.Tracker) { tr.RecordReport("t", good, start); tr.Eject("t", at(time.Second)) }, time.Second, route.Ready},
+		{"drained takes precedence over leaving", func(tr *observe.Tracker) {
+			tr.SetTargets([]observe.Spec{{Name: "t", Drained: true}})
+			tr.RecordReport("t", observe.Report{Leaving: true}, start)
 		}, 0, route.Draining},
-		{"a new address is a new machine", func(tr *observe.Tracker) {
-			tr.Heard("t", good, start)
-			tr.Declare([]observe.Spec{{Name: "t", Address: "other"}})
+		{"a new address resets the state", func(tr *observe.Tracker) {
+			tr.RecordReport("t", good, start)
+			tr.SetTargets([]observe.Spec{{Name: "t", Address: "other"}})
 		}, 0, route.Unknown},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			tr := observe.New(observe.DefaultParams)
-			tr.Declare([]observe.Spec{{Name: "t"}})
+			tr.SetTargets([]observe.Spec{{Name: "t"}})
 			c.do(tr)
 			got := tr.Targets(at(c.at))
 			is.Equal(len(got), 1)
@@ -79,8 +87,9 @@
 	}
 }
 
-// TestObservers: every target has its few observers in two zones; when one
-// goes only its targets change hands.
+// TestObservers checks that each target has observers in at least two zones, that
+// the load is even, and that the removal of an instance changes only the observers
+// of its own targets.
 func TestObservers(t *testing.T) {
 	is := is.New(t)
 	var all []observe.Observer
@@ -108,14 +117,14 @@
 		}
 	}
 	for _, n := range load {
-		is.True(n > 100 && n < 200) // 600 * 3 / 12 = 150
+		is.True(n > 100 && n < 200) // 600 targets * 3 observers / 12 instances = 150
 	}
 	is.Equal(observe.Observers("t", all[:1]), []string{"entry-0"})
 }
 
-// TestNews: a change is told some times and then no more; refreshes of many
-// targets keep to a bounded rate.
-func TestNews(t *testing.T) {
+// TestUpdateRateIsBounded checks that refreshes of many targets stay within the
+// capacity of the messages, and that a target with recent reports stays ready.
+func TestUpdateRateIsBounded(t *testing.T) {
 	is := is.New(t)
 	for _, n := range []int{20, 200, 2000} {
 		tr, now := observe.New(observe.DefaultParams), time.Unix(100, 0)
@@ -123,18 +132,18 @@
 		for i := range n {
 			specs = append(specs, observe.Spec{Name: fmt.Sprint("t", i)})
 		}
-		tr.Declare(specs)
-		told, seconds := 0, 120
-		for range seconds * 4 { // four messages a second, each target read anew before each
+		tr.SetTargets(specs)
+		sent, seconds := 0, 120
+		for range seconds * 4 { // four messages a second, with a new report of each target before each message
 			now = now.Add(250 * time.Millisecond)
 			for _, s := range specs {
-				tr.Heard(s.Name, observe.Report{Version: "v1"}, now)
+				tr.RecordReport(s.Name, observe.Report{Version: "v1"}, now)
 			}
-			got := tr.News(now)
-			is.True(len(got) <= observe.DefaultParams.Digests)
-			told += len(got)
+			digests := tr.NextUpdates(now)
+			is.True(len(digests) <= observe.DefaultParams.MaxDigests)
+			sent += len(digests)
 		}
-		is.True(told <= seconds*4*observe.DefaultParams.Digests)
+		is.True(sent <= seconds*4*observe.DefaultParams.MaxDigests)
 		is.Equal(tr.Targets(now)[0].State, route.Ready)
 	}
 }
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -38,7 +38,7 @@
 		return // a generation never goes down
 	}
 	c.cfg, c.parts = e.cfg, e.parts
-	c.targets.Declare(specs(e.cfg))
+	c.targets.SetTargets(specs(e.cfg))
 }
 
 func specs(cfg *view.Config) []observe.Spec {
@@ -59,17 +59,17 @@
 	report observe.Report
 }
 
-func (e targetHeard) apply(c *control) { c.targets.Heard(e.name, e.report, c.now()) }
+func (e targetHeard) apply(c *control) { c.targets.RecordReport(e.name, e.report, c.now()) }
 
 // targetFailed brings a probe that had no answer.
 type targetFailed struct{ name string }
 
-func (e targetFailed) apply(c *control) { c.targets.Failed(e.name, c.now()) }
+func (e targetFailed) apply(c *control) { c.targets.RecordFailure(e.name, c.now()) }
 
 // machinesListed brings the lagging list.
 type machinesListed struct{ leaving map[string]bool }
 
-func (e machinesListed) apply(c *control) { c.targets.Listed(e.leaving) }
+func (e machinesListed) apply(c *control) { c.targets.SetLeaving(e.leaving) }
 
 // ask runs a function on the control goroutine and waits for it.
 type ask struct {
@@ -86,7 +86,7 @@
 func (c *control) view(self string) *view.View {
 	out := &view.View{Config: c.cfg, Targets: route.NewSnapshot(c.targets.Targets(c.now()), c.snapshot), Draining: c.draining}
 	c.snapshot = out.Targets
-	c.settled = c.settled || (c.cfg != nil && c.targets.Settled())
+	c.settled = c.settled || (c.cfg != nil && c.targets.AllObserved())
 	out.Settled = c.settled
 	if c.cfg != nil && c.cfg.Drained[self] {
 		out.Draining = true
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -18,7 +18,7 @@
 // probePeers carries out the probes that are due; it runs on the control goroutine.
 func (d *Daemon) probePeers(c *control) {
 	for _, p := range c.members.Tick(c.now()) {
-		go d.ping(d.ctx, p, c.members.Self(), c.targets.News(c.now()), false)
+		go d.ping(d.ctx, p, c.members.Self(), c.targets.NextUpdates(c.now()), false)
 	}
 }
 
@@ -33,7 +33,7 @@
 func (e pinged) apply(c *control) {
 	now := c.now()
 	c.members.Receive(e.pong.Updates, now)
-	c.targets.Told(e.pong.Targets, now)
+	c.targets.MergeDigests(e.pong.Targets, now)
 	if e.ok {
 		c.members.Ack(e.probe.To, now)
 		return
@@ -58,7 +58,7 @@
 	now := c.now()
 	c.members.Receive([]member.Member{e.ping.From}, now)
 	c.members.Receive(e.ping.Updates, now)
-	c.targets.Told(e.ping.Targets, now)
+	c.targets.MergeDigests(e.ping.Targets, now)
 }
 
 func (d *Daemon) pingTimeout() time.Duration { return settings.Duration(d.set.Timing.HeartbeatMS) }
@@ -163,9 +163,9 @@
 	d.query(func(c *control) {
 		heardFrom{ping: req}.apply(c)
 		if req.Join {
-			out.Updates, out.Targets = c.members.Members(), c.targets.All(c.now())
+			out.Updates, out.Targets = c.members.Members(), c.targets.AllDigests(c.now())
 		} else {
-			out.Updates, out.Targets = c.members.UpdatesFor(req.From.Name), c.targets.News(c.now())
+			out.Updates, out.Targets = c.members.UpdatesFor(req.From.Name), c.targets.NextUpdates(c.now())
 		}
 	})
 	if req.Generation > out.Generation {
--- a/internal/daemon/probe.go
+++ b/internal/daemon/probe.go
@@ -78,7 +78,7 @@
 // failed is looked at again soon, so that it is known sooner.
 func (d *Daemon) probePeriod(failures int) time.Duration {
 	least := settings.Duration(d.set.Timing.ProbeMS)
-	if failures > 0 && failures < observe.DefaultParams.Failures {
+	if failures > 0 && failures < observe.DefaultParams.FailureThreshold {
 		return least
 	}
 	return max(least, time.Duration(d.observing.Load())*least/probeShare)
@@ -138,7 +138,7 @@
 
 func reportOf(st target.Status, rtt time.Duration) observe.Report {
 	return observe.Report{Version: st.Version, Adapters: st.Adapters, Leaving: st.Leaving, Loading: st.Loading,
-		Running: st.Running + st.Waiting, Queued: st.QueuedTokens, Age: time.Duration(st.AgeMS * float64(time.Millisecond)), RTT: rtt}
+		Running: st.Running + st.Waiting, QueuedTokens: st.QueuedTokens, Age: time.Duration(st.AgeMS * float64(time.Millisecond)), RTT: rtt}
 }
 
 // readEvents applies the target's cache events behind seq. An engine whose
--- a/internal/standin/measure/slopes.go
+++ b/internal/standin/measure/slopes.go
@@ -193,15 +193,15 @@
 		for i := range n {
 			specs = append(specs, observe.Spec{Name: fmt.Sprintf("engine-%d", i)})
 		}
-		tr.Declare(specs)
+		tr.SetTargets(specs)
 		told := 0
 		const seconds = 60
 		for range 2 * seconds {
 			now = now.Add(500 * time.Millisecond)
 			for _, sp := range specs {
-				tr.Heard(sp.Name, observe.Report{Version: "v"}, now)
+				tr.RecordReport(sp.Name, observe.Report{Version: "v"}, now)
 			}
-			told += len(tr.News(now))
+			told += len(tr.NextUpdates(now))
 		}
 		s.X, s.Y = append(s.X, float64(n)), append(s.Y, float64(told)/seconds)
 	}
