--- a/internal/core/route/route.go
+++ b/internal/core/route/route.go
@@ -147,10 +147,10 @@
 		pickBaseline(s, pool, q, p, h, d)
 		return
 	}
-	var chosen [MaxCandidates]int32
-	n := collectCandidates(s, pool, q, p, &chosen, &d.Filtered)
-	firstIndex := firstHome(s, q, chosen[:n])
-	for _, i := range chosen[:n] {
+	var candidates [MaxCandidates]int32
+	n := collectCandidates(s, pool, q, p, &candidates, &d.Filtered)
+	firstIndex := firstHome(s, q, candidates[:n])
+	for _, i := range candidates[:n] {
 		t := &s.Targets[i&^randomFlag]
 		c, action, firstTokenMS := predictCost(t, q, p, h)
 		c.Home = i&randomFlag == 0
@@ -185,13 +185,13 @@
 // firstHome returns the home with the highest rendezvous score for the prompt's
 // longest key, or -1 without keys. Prompts with the same root have the same homes,
 // but each draft or session among them has its own first home.
-func firstHome(s *Snapshot, q *Query, chosen []int32) int32 {
+func firstHome(s *Snapshot, q *Query, candidates []int32) int32 {
 	if len(q.Keys) == 0 {
 		return -1
 	}
 	longestKey := binary.LittleEndian.Uint64(q.Keys[len(q.Keys)-1][:8])
 	best, topScore := int32(-1), uint64(0)
-	for _, i := range chosen {
+	for _, i := range candidates {
 		if i&randomFlag != 0 {
 			continue
 		}
