--- a/internal/logstory/crashes.go
+++ b/internal/logstory/crashes.go
@@ -7,55 +7,55 @@
 	"time"
 )
 
-// underCrash is the message of a request that was under way at a target that crashed. Its
-// field key is the same for requests that are alike.
-const underCrash = "target crashed under a request"
+// crashedUnderRequest is the message logged for a request that was running on a target
+// when it crashed. Requests with the same customer, path and body share the field "key".
+const crashedUnderRequest = "target crashed under a request"
 
-// crashesByKey lists the targets that crashed under requests, by the key of these, up to a
-// moment.
-func crashesByKey(lines []Line, until time.Time) map[string][]string {
+// crashedTargetsByKey lists, for each request key, the targets that crashed while they
+// ran requests with that key, up to a point in time.
+func crashedTargetsByKey(lines []Line, until time.Time) map[string][]string {
 	out := map[string][]string{}
 	for _, l := range lines {
 		key, target := l.Fields.Text("key"), l.Fields.Text("target")
-		if l.Message == underCrash && !l.Time.After(until) && !slices.Contains(out[key], target) {
+		if l.Message == crashedUnderRequest && !l.Time.After(until) && !slices.Contains(out[key], target) {
 			out[key] = append(out[key], target)
 		}
 	}
 	return out
 }
 
-// quarantined tells why a request was kept from targets.
-func quarantined(lines []Line, s *Story) []string {
-	end := s.end()
+// findQuarantine explains why a request was quarantined.
+func findQuarantine(lines []Line, t *Timeline) []string {
+	end := t.end()
 	if end.Fields.Text("outcome") != "quarantined" {
 		return nil
 	}
 	key := end.Fields.Text("key")
-	targets := crashesByKey(lines, end.Time.Add(after))[key]
-	return []string{fmt.Sprintf("kept from targets for %s: %.0f crashed under requests like it, of customer, path and body (key %s; in these logs: %s)",
+	targets := crashedTargetsByKey(lines, end.Time.Add(lookahead))[key]
+	return []string{fmt.Sprintf("quarantined for %s: %.0f targets crashed while running requests with the same customer, path and body (key %s; in these logs: %s)",
 		time.Duration(end.Fields.Number("quarantined_ms"))*time.Millisecond, end.Fields.Number("crashes"), key, strings.Join(targets, ", "))}
 }
 
-// repeatedCrashes is how many targets must have crashed under requests that are alike to
-// name these as a cause.
-const repeatedCrashes = 3
+// minCrashedTargets is the number of targets that must have crashed while they ran
+// requests with the same key before these are named as a possible cause.
+const minCrashedTargets = 3
 
-// crashed tells of targets that crashed under the request, and which others were under way
-// there that crashed more.
-func crashed(lines []Line, s *Story) []string {
+// findCrashes reports the targets that crashed while they ran the request, and the other
+// requests running there whose key is linked to more crashes.
+func findCrashes(lines []Line, t *Timeline) []string {
 	var out []string
-	all := crashesByKey(lines, s.end().Time.Add(before))
-	for _, a := range s.failed() {
+	crashedTargets := crashedTargetsByKey(lines, t.end().Time.Add(lookback))
+	for _, a := range t.failedAttempts() {
 		target := a.Fields.Text("target")
-		if !slices.ContainsFunc(s.Around, func(l Line) bool { return l.Message == "target crashed" && l.Fields.Text("target") == target }) {
+		if !slices.ContainsFunc(t.Related, func(l Line) bool { return l.Message == "target crashed" && l.Fields.Text("target") == target }) {
 			continue
 		}
 		out = append(out, fmt.Sprintf("target %s crashed: its address refused a new connection", target))
 		for _, l := range lines {
 			key := l.Fields.Text("key")
-			if l.Message == underCrash && l.Fields.Text("target") == target && len(all[key]) >= repeatedCrashes {
-				out = append(out, fmt.Sprintf("requests of key %s (customer %s, route %s) were under way at it, and at %d other targets that crashed",
-					key, l.Fields.Text("customer"), l.Fields.Text("route"), len(all[key])-1))
+			if l.Message == crashedUnderRequest && l.Fields.Text("target") == target && len(crashedTargets[key]) >= minCrashedTargets {
+				out = append(out, fmt.Sprintf("requests with key %s (customer %s, route %s) were running on it and on %d other targets that crashed",
+					key, l.Fields.Text("customer"), l.Fields.Text("route"), len(crashedTargets[key])-1))
 			}
 		}
 	}
--- a/internal/logstory/logstory.go
+++ b/internal/logstory/logstory.go
@@ -1,6 +1,6 @@
-// Package logstory joins the log lines of several instances into the story of one
-// request: its own lines, the changes of belief and the orders that concern it, and
-// what follows from them. It is pure: the caller reads the files.
+// Package logstory joins the log lines of several instances into the timeline of one
+// request: its own lines, the state changes and orders that affected it, and the
+// findings that follow. It does no I/O of its own: the caller opens the files.
 package logstory
 
 import (
@@ -15,29 +15,29 @@
 
 // Line is one line of an instance's log.
 type Line struct {
-	Time     time.Time `json:"time"` // by the instance's own clock
-	Instance string    `json:"instance"`
-	Message  string    `json:"message"`
-	Fields   Fields    `json:"fields"`
-	Others   int       `json:"others,omitempty"` // instances that wrote the same of a target
+	Time           time.Time `json:"time"` // by the clock of the instance
+	Instance       string    `json:"instance"`
+	Message        string    `json:"message"`
+	Fields         Fields    `json:"fields"`
+	OtherInstances int       `json:"others,omitempty"` // further instances that reported the same change of a target
 }
 
-// Fields are a line's fields as JSON has them.
+// Fields holds the fields of a line, decoded from JSON.
 type Fields map[string]any
 
-// Text returns a field that is text; "" if there is none.
+// Text returns a string field, or "" if it is absent or of another type.
 func (f Fields) Text(name string) string {
 	s, _ := f[name].(string)
 	return s
 }
 
-// Number returns a field that is a number; 0 if there is none.
+// Number returns a numeric field, or 0 if it is absent or of another type.
 func (f Fields) Number(name string) float64 {
 	n, _ := f[name].(float64)
 	return n
 }
 
-// Names returns a field that is a list of texts.
+// Names returns the strings of a list field.
 func (f Fields) Names(name string) []string {
 	list, _ := f[name].([]any)
 	var out []string
@@ -49,19 +49,19 @@
 	return out
 }
 
-// maxLine bounds one line, in bytes; a longer one ends the reading with an error.
-const maxLine = 4 << 20
+// maxLineBytes is the maximum length of a line; Read fails on a longer one.
+const maxLineBytes = 4 << 20
 
-// Read reads the lines of one file. What stands before the first brace of a line,
-// such as a collector's own time stamp, and lines without JSON are passed over.
+// Read parses the lines of one log file. It ignores whatever precedes the first brace
+// of a line, such as a collector's timestamp, and skips lines without JSON.
 func Read(r io.Reader) ([]Line, error) {
 	var out []Line
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		raw := lines.Bytes()
-		at := bytes.IndexByte(raw, '{')
-		if at < 0 {
+		start := bytes.IndexByte(raw, '{')
+		if start < 0 {
 			continue
 		}
 		var l struct {
@@ -69,103 +69,104 @@
 			Message   string
 			Fields    Fields
 		}
-		if json.Unmarshal(raw[at:], &l) != nil || l.Message == "" {
-			continue // not a line of ours
+		if json.Unmarshal(raw[start:], &l) != nil || l.Message == "" {
+			continue // not a log line of this system
 		}
 		out = append(out, Line{Time: l.Timestamp, Instance: l.Fields.Text("instance"), Message: l.Message, Fields: l.Fields})
 	}
 	return out, lines.Err()
 }
 
-// Story is what is known of one request.
-type Story struct {
+// Timeline holds all that the logs say about one request.
+type Timeline struct {
 	Request  string   `json:"request"`
-	Lines    []Line   `json:"lines"`    // its own, by time
-	Around   []Line   `json:"around"`   // of its targets, its instance and its cache store, by time
-	Findings []string `json:"findings"` // what follows, most direct first
+	Lines    []Line   `json:"lines"`    // lines that name the request, by time
+	Related  []Line   `json:"around"`   // lines of its targets, instance and cache store, by time
+	Findings []string `json:"findings"` // likely causes, most direct first
 }
 
-// around is how far before a request's last line a cause is looked for, and after it
-// its echo: clocks of instances may differ by some seconds.
 const (
-	before = 10 * time.Second
-	after  = 3 * time.Second
+	// Related lines are searched from lookback before the last line of a request to
+	// lookahead after it. The margins also allow for clocks of instances that differ by
+	// some seconds.
+	lookback  = 10 * time.Second
+	lookahead = 3 * time.Second
 )
 
-// messages of lines that explain others, by what they are about.
 var (
-	aboutTarget   = []string{"load ordered", "load ended", "target changed", "target gone", "target's entry vanished, held", "target gone, its entry did not return", "target serves newer weights", "target crashed", targetLeaves}
-	aboutInstance = []string{"object store lost", "object store reached", "configuration in force", "news taken from a peer", "settings reloaded", "stopping", "started"}
-	aboutStore    = []string{"cache store lost", "cache store reached", "cache store started again, or events are lost: listing anew", "old cache freed"}
+	// Messages of lines that can explain the outcome of a request, by subject.
+	targetMessages   = []string{"load ordered", "load ended", "target changed", "target gone", "target's entry vanished, held", "target gone, its entry did not return", "target serves newer weights", "target crashed", targetLeavesMessage}
+	instanceMessages = []string{"object store lost", "object store reached", "configuration in force", "news taken from a peer", "settings reloaded", "stopping", "started"}
+	storeMessages    = []string{"cache store lost", "cache store reached", "cache store started again, or events are lost: listing anew", "old cache freed"}
 )
 
-// Tell builds the story of a request; nil if no line names it.
-func Tell(lines []Line, request string) *Story {
-	s := &Story{Request: request}
+// Build builds the timeline of a request. It returns nil if no line names the request.
+func Build(lines []Line, requestID string) *Timeline {
+	t := &Timeline{Request: requestID}
 	for _, l := range lines {
-		if l.Fields.Text("request") == request {
-			s.Lines = append(s.Lines, l)
+		if l.Fields.Text("request") == requestID {
+			t.Lines = append(t.Lines, l)
 		}
 	}
-	if len(s.Lines) == 0 {
+	if len(t.Lines) == 0 {
 		return nil
 	}
-	byTime(s.Lines)
-	end := s.Lines[len(s.Lines)-1]
+	sortByTime(t.Lines)
+	end := t.Lines[len(t.Lines)-1]
 	targets := end.Fields.Names("targets")
 	for _, l := range lines {
-		if l.Time.Before(end.Time.Add(-before)) || l.Time.After(end.Time.Add(after)) {
+		if l.Time.Before(end.Time.Add(-lookback)) || l.Time.After(end.Time.Add(lookahead)) {
 			continue
 		}
 		switch {
-		case slices.Contains(aboutTarget, l.Message) && slices.Contains(targets, l.Fields.Text("target")),
-			slices.Contains(aboutInstance, l.Message) && l.Instance == end.Instance,
-			slices.Contains(aboutStore, l.Message) && l.Fields.Text("address") == end.Fields.Text("link") && l.Instance == end.Instance:
-			s.Around = append(s.Around, l)
+		case slices.Contains(targetMessages, l.Message) && slices.Contains(targets, l.Fields.Text("target")),
+			slices.Contains(instanceMessages, l.Message) && l.Instance == end.Instance,
+			slices.Contains(storeMessages, l.Message) && l.Fields.Text("address") == end.Fields.Text("link") && l.Instance == end.Instance:
+			t.Related = append(t.Related, l)
 		}
 	}
-	byTime(s.Around)
-	s.Around = merge(s.Around, end.Instance)
-	for _, find := range [...]func([]Line, *Story) []string{staleConfig, quarantined, crashed, ownOrders, vanished, together, slowAnswer, storeAway, leavers, zonesLeftOut, restsAsked, young} {
-		s.Findings = append(s.Findings, find(lines, s)...)
+	sortByTime(t.Related)
+	t.Related = mergeDuplicates(t.Related, end.Instance)
+	for _, find := range [...]func([]Line, *Timeline) []string{findStaleConfig, findQuarantine, findCrashes, findLoadOrders, findRemovedTargets, findCorrelatedFailures, findSlowResponse, findStoreOutage, findLeavingTargets, findExcludedZones, findBackoffs, findRecentStart} {
+		t.Findings = append(t.Findings, find(lines, t)...)
 	}
-	return s
+	return t
 }
 
-func byTime(lines []Line) {
+func sortByTime(lines []Line) {
 	slices.SortStableFunc(lines, func(a, b Line) int { return cmp.Compare(a.Time.UnixNano(), b.Time.UnixNano()) })
 }
 
-// merge leaves one line of those in which several instances tell the same of a
-// target: the given instance's, else the first.
-func merge(lines []Line, instance string) []Line {
-	type news struct {
+// mergeDuplicates merges lines in which several instances report the same change of a
+// target. It keeps the line of the given instance, or else the first one.
+func mergeDuplicates(lines []Line, instance string) []Line {
+	type eventKey struct {
 		message, target string
 		leaving         any
 		version         any
 	}
-	at := map[news]int{}
+	indexByKey := map[eventKey]int{}
 	var out []Line
 	for _, l := range lines {
-		if !slices.Contains(aboutTarget, l.Message) {
+		if !slices.Contains(targetMessages, l.Message) {
 			out = append(out, l)
 			continue
 		}
-		n := news{l.Message, l.Fields.Text("target"), l.Fields["leaving"], l.Fields["version"]}
-		i, told := at[n]
-		if !told {
-			at[n] = len(out)
+		key := eventKey{l.Message, l.Fields.Text("target"), l.Fields["leaving"], l.Fields["version"]}
+		i, seen := indexByKey[key]
+		if !seen {
+			indexByKey[key] = len(out)
 			out = append(out, l)
 			continue
 		}
-		others := out[i].Others + 1
+		others := out[i].OtherInstances + 1
 		if l.Instance == instance {
 			out[i] = l
 		}
-		out[i].Others = others
+		out[i].OtherInstances = others
 	}
 	return out
 }
 
-// end is the last line of the request.
-func (s *Story) end() Line { return s.Lines[len(s.Lines)-1] }
+// end returns the last line of the request.
+func (t *Timeline) end() Line { return t.Lines[len(t.Lines)-1] }
--- a/internal/logstory/zones.go
+++ b/internal/logstory/zones.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// zonesLeftOut tells which zones the request's instance left out when it ended: those that
-// operators had evacuated, and those that were silent.
-func zonesLeftOut(lines []Line, s *Story) []string {
-	end := s.end()
+// findExcludedZones reports the zones that the instance excluded when the request ended:
+// those evacuated by operators and those that were unreachable.
+func findExcludedZones(lines []Line, t *Timeline) []string {
+	end := t.end()
 	var evacuated []string
 	var changed time.Time
-	silent := map[string]time.Time{}
+	unreachable := map[string]time.Time{}
 	for _, l := range lines {
 		if l.Instance != end.Instance || l.Time.After(end.Time) {
 			continue
@@ -22,17 +22,17 @@
 		case "evacuated zones changed":
 			evacuated, changed = l.Fields.Names("zones"), l.Time
 		case "zone is silent":
-			silent[l.Fields.Text("zone")] = l.Time
+			unreachable[l.Fields.Text("zone")] = l.Time
 		case "zone answers again":
-			delete(silent, l.Fields.Text("zone"))
+			delete(unreachable, l.Fields.Text("zone"))
 		}
 	}
 	var out []string
 	if len(evacuated) > 0 {
-		out = append(out, fmt.Sprintf("zones %v were evacuated, as %s had learned %s before", evacuated, end.Instance, end.Time.Sub(changed).Round(time.Millisecond)))
+		out = append(out, fmt.Sprintf("zones %v were evacuated; %s had learned so %s before", evacuated, end.Instance, end.Time.Sub(changed).Round(time.Millisecond)))
 	}
-	for _, zone := range slices.Sorted(maps.Keys(silent)) {
-		out = append(out, fmt.Sprintf("zone %s had answered %s nothing for %s", zone, end.Instance, end.Time.Sub(silent[zone]).Round(time.Millisecond)))
+	for _, zone := range slices.Sorted(maps.Keys(unreachable)) {
+		out = append(out, fmt.Sprintf("zone %s had been unreachable from %s for %s", zone, end.Instance, end.Time.Sub(unreachable[zone]).Round(time.Millisecond)))
 	}
 	return out
 }
--- a/internal/tool/logs.go
+++ b/internal/tool/logs.go
@@ -29,7 +29,7 @@
 			if err != nil {
 				return err
 			}
-			s := logstory.Tell(lines, args[0])
+			s := logstory.Build(lines, args[0])
 			if s == nil {
 				return &NoRequestError{Request: args[0]}
 			}
@@ -62,12 +62,12 @@
 	return logstory.Read(f)
 }
 
-func storyTable(w io.Writer, s *logstory.Story) {
+func storyTable(w io.Writer, s *logstory.Timeline) {
 	fmt.Fprintf(w, "request %s\n", s.Request)
 	linesTable(w, s.Lines)
-	if len(s.Around) > 0 {
+	if len(s.Related) > 0 {
 		fmt.Fprintln(w, "around it")
-		linesTable(w, s.Around)
+		linesTable(w, s.Related)
 	}
 	fmt.Fprintln(w, "findings")
 	for _, f := range s.Findings {
@@ -90,8 +90,8 @@
 				fmt.Fprintf(w, "%s=%v ", name, v)
 			}
 		}
-		if l.Others > 0 {
-			fmt.Fprintf(w, "(and %d instances more)", l.Others)
+		if l.OtherInstances > 0 {
+			fmt.Fprintf(w, "(and %d instances more)", l.OtherInstances)
 		}
 		fmt.Fprintln(w)
 	}
