--- a/internal/logstory/crashes_test.go
+++ b/internal/requestlog/crashes_test.go
@@ -1,4 +1,4 @@
-package logstory_test
+package requestlog_test
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/shedhoist/shedhoist/internal/logstory"
+	"github.com/shedhoist/shedhoist/internal/requestlog"
 )
 
 // crashedDuringRequest returns the log line of a request that was running on a target when it crashed.
@@ -37,7 +37,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			timeline := logstory.Build(readLines(t, c.lines...), "r")
+			timeline := requestlog.Build(readLines(t, c.lines...), "r")
 			is.Equal(len(timeline.Findings), len(c.want))
 			for i, want := range c.want {
 				is.True(strings.Contains(timeline.Findings[i], want))
--- a/internal/logstory/leaving.go
+++ b/internal/requestlog/leaving.go
@@ -1,4 +1,4 @@
-package logstory
+package requestlog
 
 import (
 	"fmt"
--- a/internal/logstory/leaving_test.go
+++ b/internal/requestlog/leaving_test.go
@@ -1,4 +1,4 @@
-package logstory_test
+package requestlog_test
 
 import (
 	"strings"
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/shedhoist/shedhoist/internal/logstory"
+	"github.com/shedhoist/shedhoist/internal/requestlog"
 )
 
 // TestLeavingTargets checks that the findings name the targets whose leaving notice was
@@ -34,7 +34,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			timeline := logstory.Build(readLines(t, c.lines...), "r")
+			timeline := requestlog.Build(readLines(t, c.lines...), "r")
 			var got []string
 			for _, f := range timeline.Findings {
 				if strings.Contains(f, "leaves") {
--- a/internal/logstory/logstory.go
+++ b/internal/requestlog/requestlog.go
@@ -1,7 +1,7 @@
-// Package logstory joins the log lines of several instances into the timeline of one
+// Package requestlog joins the log lines of several instances into the timeline of one
 // request: its own lines, the state changes and orders that affected it, and the
 // findings that follow. It does no I/O of its own: the caller opens the files.
-package logstory
+package requestlog
 
 import (
 	"bufio"
--- a/internal/logstory/logstory_test.go
+++ b/internal/requestlog/requestlog_test.go
@@ -1,4 +1,4 @@
-package logstory_test
+package requestlog_test
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/shedhoist/shedhoist/internal/logstory"
+	"github.com/shedhoist/shedhoist/internal/requestlog"
 )
 
 // logLine returns one log line, stamped the given number of milliseconds after the epoch.
@@ -20,8 +20,8 @@
 	return fmt.Sprintf(`{"fields":{"instance":%q%s},"level":"info","timestamp":%q,"message":%q}`, instance, fields, when, message)
 }
 
-func readLines(t *testing.T, lines ...string) []logstory.Line {
-	out, err := logstory.Read(strings.NewReader(strings.Join(lines, "\n")))
+func readLines(t *testing.T, lines ...string) []requestlog.Line {
+	out, err := requestlog.Read(strings.NewReader(strings.Join(lines, "\n")))
 	is.New(t).NoErr(err)
 	return out
 }
@@ -63,7 +63,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			timeline := logstory.Build(readLines(t, c.lines...), "r")
+			timeline := requestlog.Build(readLines(t, c.lines...), "r")
 			is.Equal(len(timeline.Findings), len(c.want))
 			for i, want := range c.want {
 				if !strings.Contains(timeline.Findings[i], want) {
@@ -83,7 +83,7 @@
 		lines = append(lines, logLine(4000+i, instance, "target changed", `"target":"t1","leaving":true,"models":[{"Model":"m"}]`))
 	}
 	lines = append(lines, logLine(4500, "b", "target changed", `"target":"t1","leaving":false`))
-	timeline := logstory.Build(readLines(t, lines...), "r")
+	timeline := requestlog.Build(readLines(t, lines...), "r")
 	is.Equal(len(timeline.Related), 2)
 	is.Equal(timeline.Related[0].Instance, "a")
 	is.Equal(timeline.Related[0].OtherInstances, 3)
@@ -96,9 +96,9 @@
 	lines := readLines(t, "   0.02 front-1 "+logLine(1, "a", "started", ""), "panic: not JSON", `{"other":1}`, "{broken", logLine(2, "a", "request", `"request":"r","outcome":"done"`))
 	is.Equal(len(lines), 2)
 	is.Equal(lines[0].Instance, "a")
-	is.Equal(logstory.Build(lines, "none"), nil)
-	is.Equal(len(logstory.Build(lines, "r").Lines), 1)
-	_, err := logstory.Read(strings.NewReader(strings.Repeat("x", 5<<20)))
+	is.Equal(requestlog.Build(lines, "none"), nil)
+	is.Equal(len(requestlog.Build(lines, "r").Lines), 1)
+	_, err := requestlog.Read(strings.NewReader(strings.Repeat("x", 5<<20)))
 	is.True(err != nil)
 }
 
@@ -107,8 +107,8 @@
 	f.Add(logLine(1, "a", "request", `"request":"r","targets":["t",3],"config":"x"`))
 	f.Add(`{"fields":null,"message":"request"}`)
 	f.Fuzz(func(t *testing.T, text string) {
-		if lines, err := logstory.Read(strings.NewReader(text)); err == nil {
-			logstory.Build(lines, "r")
+		if lines, err := requestlog.Read(strings.NewReader(text)); err == nil {
+			requestlog.Build(lines, "r")
 		}
 	})
 }
--- a/internal/tool/logs.go
+++ b/internal/tool/logs.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"github.com/shedhoist/shedhoist/internal/logstory"
+	"github.com/shedhoist/shedhoist/internal/requestlog"
 )
 
 // NoRequestError says that no line of the logs names a request.
@@ -29,7 +29,7 @@
 			if err != nil {
 				return err
 			}
-			s := logstory.Build(lines, args[0])
+			s := requestlog.Build(lines, args[0])
 			if s == nil {
 				return &NoRequestError{Request: args[0]}
 			}
@@ -38,8 +38,8 @@
 	return logs
 }
 
-func readLogs(stdin io.Reader, files []string) ([]logstory.Line, error) {
-	var out []logstory.Line
+func readLogs(stdin io.Reader, files []string) ([]requestlog.Line, error) {
+	var out []requestlog.Line
 	for _, name := range files {
 		lines, err := readLog(stdin, name)
 		if err != nil {
@@ -50,19 +50,19 @@
 	return out, nil
 }
 
-func readLog(stdin io.Reader, name string) ([]logstory.Line, error) {
+func readLog(stdin io.Reader, name string) ([]requestlog.Line, error) {
 	if name == "-" {
-		return logstory.Read(stdin)
+		return requestlog.Read(stdin)
 	}
 	f, err := os.Open(name)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	return logstory.Read(f)
+	return requestlog.Read(f)
 }
 
-func storyTable(w io.Writer, s *logstory.Timeline) {
+func storyTable(w io.Writer, s *requestlog.Timeline) {
 	fmt.Fprintf(w, "request %s\n", s.Request)
 	linesTable(w, s.Lines)
 	if len(s.Related) > 0 {
@@ -82,7 +82,7 @@
 var storyFields = []string{"target", "targets", "outcome", "status", "ended", "next", "detail", "error", "config", "version", "before", "from", "by", "leaving",
 	"weights", "ms", "first_ms", "predicted_ms", "link", "read_tokens", "age_ms", "store_age_ms", "token"}
 
-func linesTable(w io.Writer, lines []logstory.Line) {
+func linesTable(w io.Writer, lines []requestlog.Line) {
 	for _, l := range lines {
 		fmt.Fprintf(w, "  %s\t%s\t%s\t", l.Time.Format(time.TimeOnly+".000"), l.Instance, l.Message)
 		for _, name := range storyFields {
