--- a/internal/daemon/follow.go
+++ b/internal/daemon/follow.go
@@ -123,7 +123,7 @@
 	req := peer.ConfigRequest{}
 	d.query(func(c *control) {
 		for hash := range c.parts {
-			req.Have = append(req.Have, hash)
+			req.KnownBuckets = append(req.KnownBuckets, hash)
 		}
 	})
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
@@ -156,7 +156,7 @@
 	}
 	out := peer.ConfigReply{Head: head, Buckets: map[string][]byte{}}
 	has := map[string]bool{}
-	for _, hash := range req.Have {
+	for _, hash := range req.KnownBuckets {
 		has[hash] = true
 	}
 	d.query(func(c *control) {
--- a/internal/daemon/keeper.go
+++ b/internal/daemon/keeper.go
@@ -50,8 +50,8 @@
 	if address := k.of(ctx, ledger.PartitionOf(e.ID)); address != "" {
 		pctx, pcancel := context.WithTimeout(ctx, peerClaimTimeout)
 		defer pcancel()
-		var out peer.Claimed
-		if err := k.d.pool.Call(pctx, address, "Peer.Claim", &peer.Claim{Entry: e}, &out); err == nil {
+		var out peer.ClaimReply
+		if err := k.d.pool.Call(pctx, address, "Peer.Claim", &peer.ClaimRequest{Entry: e}, &out); err == nil {
 			return atmostonce.Result{Verdict: out.Verdict, Outcome: out.Outcome}, nil
 		}
 	}
@@ -64,7 +64,7 @@
 		ctx, cancel := context.WithTimeout(k.d.ctx, claimTimeout)
 		defer cancel()
 		if address := k.of(ctx, ledger.PartitionOf(id)); address != "" {
-			if k.d.pool.Call(ctx, address, "Peer.Settle", &peer.Settle{ID: id, Nonce: nonce, Outcome: o}, &peer.Settled{}) == nil {
+			if k.d.pool.Call(ctx, address, "Peer.Settle", &peer.SettleRequest{ID: id, Nonce: nonce, Outcome: o}, &peer.SettleReply{}) == nil {
 				return
 			}
 		}
@@ -73,12 +73,12 @@
 }
 
 // Claim implements peer.Handler.
-func (d *Daemon) Claim(req peer.Claim) (peer.Claimed, error) {
+func (d *Daemon) Claim(req peer.ClaimRequest) (peer.ClaimReply, error) {
 	ctx, cancel := context.WithTimeout(d.ctx, claimTimeout)
 	defer cancel()
 	a, err := d.ledger.Claim(ctx, req.Entry)
-	return peer.Claimed{Verdict: a.Verdict, Outcome: a.Outcome}, err
+	return peer.ClaimReply{Verdict: a.Verdict, Outcome: a.Outcome}, err
 }
 
 // Settle implements peer.Handler.
-func (d *Daemon) Settle(req peer.Settle) { d.ledger.Settle(req.ID, req.Nonce, req.Outcome) }
+func (d *Daemon) Settle(req peer.SettleRequest) { d.ledger.Settle(req.ID, req.Nonce, req.Outcome) }
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -89,9 +89,9 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(ctx, 2*d.pingTimeout())
 			defer cancel()
-			var out peer.Reached
-			err := d.pool.Call(ctx, p.Via, "Peer.Indirect", &peer.Indirect{Name: p.To, Address: p.Address}, &out)
-			results <- err == nil && out.OK
+			var out peer.IndirectReply
+			err := d.pool.Call(ctx, p.Via, "Peer.Indirect", &peer.IndirectRequest{Name: p.To, Address: p.Address}, &out)
+			results <- err == nil && out.Reachable
 		}()
 	}
 	for range probes {
@@ -181,5 +181,5 @@
 func (d *Daemon) Status() peer.Status {
 	v := d.view.Load()
 	return peer.Status{Name: d.set.Name, Zone: d.set.Zone, Generation: d.generation(), Ready: d.Ready(), Draining: v.Draining,
-		InHand: d.callers.InHand(), PlatformOK: d.platformOK.Load(), Version: version.String}
+		InFlight: d.callers.InHand(), PlatformOK: d.platformOK.Load(), Version: version.String}
 }
--- a/internal/daemon/state.go
+++ b/internal/daemon/state.go
@@ -113,7 +113,7 @@
 		return r
 	}
 	var found *explain.Record
-	askAll(ctx, d, "Peer.Explain", &peer.Explain{ID: id}, func(_ member.Member, e peer.Explained) {
+	askAll(ctx, d, "Peer.Explain", &peer.ExplainRequest{ID: id}, func(_ member.Member, e peer.ExplainReply) {
 		if e.Record != nil {
 			found = e.Record
 		}
--- a/internal/e2e/honest_test.go
+++ b/internal/e2e/honest_test.go
@@ -132,7 +132,7 @@
 	cancel()
 	resp.Body.Close()
 	eventually(t, "the engine cancels the run", func() bool { return f.Engines[0].Counters().Cancelled == 1 })
-	eventually(t, "the instance lets go", func() bool { return f.Daemons[0].Status().InHand == 0 })
+	eventually(t, "the instance lets go", func() bool { return f.Daemons[0].Status().InFlight == 0 })
 	is.Equal(f.Daemons[0].Explain(resp.Header.Get("X-Request-Id")).Outcome, string(problem.CallerGone))
 }
 
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -50,7 +50,7 @@
 }
 
 // dialFrom opens connections from a host.
-func (n *memoryNetwork) dialFrom(host string) peer.Dial {
+func (n *memoryNetwork) dialFrom(host string) peer.DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		to, _, err := net.SplitHostPort(address)
 		if err != nil {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -44,7 +44,7 @@
 	// Listen opens a listener and Dial a connection to a peer or a target, nil: on the network
 	// of this machine. A test gives links of its own.
 	Listen func(address string) (net.Listener, error)
-	Dial   peer.Dial
+	Dial   peer.DialFunc
 }
 
 // Gateway is one entry instance.
@@ -175,12 +175,12 @@
 	maxHeaderBytes = 64 << 10          // bytes
 )
 
-func (g *Gateway) listen(open func(address string) (net.Listener, error), dial peer.Dial) error {
+func (g *Gateway) listen(open func(address string) (net.Listener, error), dial peer.DialFunc) error {
 	set := g.settings()
 	sec := peer.Security{Secret: []byte(peerSecret)}
-	g.pool = peer.NewPoolOver(dial, sec, g.now)
+	g.pool = peer.NewPoolWithDialer(dial, sec, g.now)
 	var err error
-	if g.peers, err = peer.NewServerOf(peerService, &peerHandler{g}, sec); err != nil {
+	if g.peers, err = peer.NewServerFor(peerService, &peerHandler{g}, sec); err != nil {
 		return err
 	}
 	for _, l := range [...]struct {
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -20,7 +20,7 @@
 // upstream sends requests to targets.
 type upstream struct {
 	singleUseClient *http.Client // a connection for each request
-	dial            peer.Dial
+	dial            peer.DialFunc
 	inflight        *inflight.Loads
 
 	mu                 sync.Mutex
@@ -49,7 +49,7 @@
 func newUpstream() *upstream { return newUpstreamWithDial(nil) }
 
 // newUpstreamWithDial is newUpstream on another network; nil is this machine's.
-func newUpstreamWithDial(dial peer.Dial) *upstream {
+func newUpstreamWithDial(dial peer.DialFunc) *upstream {
 	if dial == nil {
 		dial = netx.Dialer(targetConnectTimeout).DialContext
 	}
@@ -58,7 +58,7 @@
 
 // newClient returns a client that keeps connections by the life of a target: one that was
 // opened to an earlier life, perhaps behind a cut, is never used for a later one.
-func newClient(dial peer.Dial, perTarget int, idle time.Duration) *http.Client {
+func newClient(dial peer.DialFunc, perTarget int, idle time.Duration) *http.Client {
 	t := netx.Transport(netx.TransportOptions{Connect: targetConnectTimeout, IdlePerHost: perTarget, IdleFor: idle})
 	t.DialContext = func(ctx context.Context, network, _ string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, targetConnectTimeout)
--- a/internal/peer/auth.go
+++ b/internal/peer/auth.go
@@ -9,25 +9,26 @@
 	"time"
 )
 
-// Security is how peers prove who they are. With TLS set its certificates are
-// the proof; else both sides show that they know Secret, without sending it.
+// Security holds the credentials for mutual authentication of peers. If TLS is set, its
+// certificates authenticate both sides; otherwise both sides prove knowledge of Secret
+// without sending it.
 type Security struct {
 	Secret []byte
 	TLS    TLSConfig // nil: plain TCP
 }
 
-// handshakeTimeout bounds the proof on a new connection.
+// handshakeTimeout bounds the authentication of a new connection.
 const handshakeTimeout = 2 * time.Second
 
-// IdentityError says that the other side did not prove that it is a peer.
-type IdentityError struct {
+// AuthenticationError says that the remote side was not authenticated as a peer.
+type AuthenticationError struct {
 	Address string
 	Cause   error
 }
 
 // Error implements error.
-func (e *IdentityError) Error() string {
-	msg := "peer: " + e.Address + " did not prove that it is a peer"
+func (e *AuthenticationError) Error() string {
+	msg := "peer: " + e.Address + " failed authentication"
 	if e.Cause != nil {
 		msg += ": " + e.Cause.Error()
 	}
@@ -35,59 +36,61 @@
 }
 
 // Unwrap returns the cause.
-func (e *IdentityError) Unwrap() error { return e.Cause }
+func (e *AuthenticationError) Unwrap() error { return e.Cause }
 
 const nonceSize = 32
 
-// proof binds the answer to both nonces and to the side that gives it, so that
-// neither side's proof can be played back as the other's.
-func proof(secret []byte, side string, a, b []byte) []byte {
+// computeMAC returns the MAC that one side sends. It covers both nonces and the side's
+// role, so that neither side's MAC can be replayed as the other's.
+func computeMAC(secret []byte, side string, dialerNonce, acceptorNonce []byte) []byte {
 	mac := hmac.New(sha256.New, secret)
 	mac.Write([]byte("shedhoist/peer/1/" + side))
-	mac.Write(a)
-	mac.Write(b)
+	mac.Write(dialerNonce)
+	mac.Write(acceptorNonce)
 	return mac.Sum(nil)
 }
 
-// prove runs the shared-secret proof on a fresh connection. Each side sends a
-// nonce; then the dialer proves first, so that a stranger who dials learns
+// authenticate runs the shared-secret handshake on a new connection. Each side sends a
+// nonce; then the dialer sends its MAC first, so that an unauthenticated dialer receives
 // nothing that depends on the secret.
-func prove(conn net.Conn, secret []byte, dialer bool) error {
-	fail := func(err error) error { return &IdentityError{Address: conn.RemoteAddr().String(), Cause: err} }
+func authenticate(conn net.Conn, secret []byte, dialer bool) error {
+	fail := func(err error) error { return &AuthenticationError{Address: conn.RemoteAddr().String(), Cause: err} }
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return fail(err)
 	}
-	mine, theirs := make([]byte, nonceSize), make([]byte, nonceSize)
-	if _, err := rand.Read(mine); err != nil {
+	localNonce, remoteNonce := make([]byte, nonceSize), make([]byte, nonceSize)
+	if _, err := rand.Read(localNonce); err != nil {
 		return fail(err)
 	}
-	if _, err := conn.Write(mine); err != nil {
+	if _, err := conn.Write(localNonce); err != nil {
 		return fail(err)
 	}
-	if _, err := io.ReadFull(conn, theirs); err != nil {
+	if _, err := io.ReadFull(conn, remoteNonce); err != nil {
 		return fail(err)
 	}
-	d, a := mine, theirs
+	dialerNonce, acceptorNonce := localNonce, remoteNonce
 	if !dialer {
-		d, a = theirs, mine
+		dialerNonce, acceptorNonce = remoteNonce, localNonce
 	}
-	dialerProof, acceptorProof := proof(secret, "dialer", d, a), proof(secret, "acceptor", d, a)
+	dialerMAC, acceptorMAC := computeMAC(secret, "dialer", dialerNonce, acceptorNonce), computeMAC(secret, "acceptor", dialerNonce, acceptorNonce)
 	if dialer {
-		if _, err := conn.Write(dialerProof); err != nil {
+		if _, err := conn.Write(dialerMAC); err != nil {
 			return fail(err)
 		}
-		return checkThenClear(conn, acceptorProof, fail)
+		return verifyMAC(conn, acceptorMAC, fail)
 	}
-	if err := checkThenClear(conn, dialerProof, fail); err != nil {
+	if err := verifyMAC(conn, dialerMAC, fail); err != nil {
 		return err
 	}
-	if _, err := conn.Write(acceptorProof); err != nil {
+	if _, err := conn.Write(acceptorMAC); err != nil {
 		return fail(err)
 	}
 	return nil
 }
 
-func checkThenClear(conn net.Conn, want []byte, fail func(error) error) error {
+// verifyMAC reads the MAC of the remote side, compares it in constant time and clears
+// the handshake deadline.
+func verifyMAC(conn net.Conn, want []byte, fail func(error) error) error {
 	got := make([]byte, len(want))
 	if _, err := io.ReadFull(conn, got); err != nil {
 		return fail(err)
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -1,7 +1,6 @@
-// Package peer is the edge between the system's own instances: net/rpc over
-// TCP, with CBOR (RFC 8949) messages of bounded size, a bound on the time of
-// every call, and proof of identity on both sides of every connection, by
-// mutual TLS or by a shared secret.
+// Package peer connects the system's own instances: net/rpc over TCP with CBOR
+// (RFC 8949) messages of bounded size, a timeout for every call, and mutual
+// authentication on every connection, by TLS or by a shared secret.
 package peer
 
 import (
@@ -16,28 +15,29 @@
 	"github.com/shedhoist/shedhoist/internal/metric"
 )
 
-// MaxMessage bounds one message between peers, in bytes. The largest is the
-// configuration handed to a fresh instance.
-const MaxMessage = 16 << 20
+// MaxMessageBytes is the maximum size of one message between peers. The largest is the
+// configuration sent to an instance that has just started.
+const MaxMessageBytes = 16 << 20
 
 // Bounds on what one message may unfold into.
 const (
-	maxElements = 1 << 18
-	maxNesting  = 16
+	// Limits on the decoded size of one message.
+	maxCollectionLength = 1 << 18
+	maxNestedLevels     = 16
 )
 
 var decMode = mustDecMode()
 
 func mustDecMode() cbor.DecMode {
-	m, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxArrayElements: maxElements, MaxMapPairs: maxElements,
-		MaxNestedLevels: maxNesting, IndefLength: cbor.IndefLengthForbidden}.DecMode()
+	m, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxArrayElements: maxCollectionLength, MaxMapPairs: maxCollectionLength,
+		MaxNestedLevels: maxNestedLevels, IndefLength: cbor.IndefLengthForbidden}.DecMode()
 	if err != nil {
 		panic(err) // the options are constants
 	}
 	return m
 }
 
-// MessageSizeError says that a peer announced a message over the bound.
+// MessageSizeError says that a message exceeds MaxMessageBytes.
 type MessageSizeError struct{ Size uint32 }
 
 // Error implements error.
@@ -45,55 +45,55 @@
 	return "peer: message of " + strconv.FormatUint(uint64(e.Size), 10) + " bytes is too large"
 }
 
-// frames reads and writes length-prefixed CBOR messages on one connection.
-type frames struct {
+// frameConn reads and writes length-prefixed CBOR messages on one connection.
+type frameConn struct {
 	conn io.ReadWriteCloser
 	r    *bufio.Reader
 	w    *bufio.Writer
 	buf  []byte
 }
 
-// frameBuffer is the buffer on each side of a connection, in bytes.
-const frameBuffer = 4 << 10
+// frameBufferSize is the size in bytes of the read and write buffer of a connection.
+const frameBufferSize = 4 << 10
 
-func newFrames(conn io.ReadWriteCloser) *frames {
-	return &frames{conn: conn, r: bufio.NewReaderSize(conn, frameBuffer), w: bufio.NewWriterSize(conn, frameBuffer)}
+func newFrameConn(conn io.ReadWriteCloser) *frameConn {
+	return &frameConn{conn: conn, r: bufio.NewReaderSize(conn, frameBufferSize), w: bufio.NewWriterSize(conn, frameBufferSize)}
 }
 
-func (f *frames) write(method string, v any) error {
+func (f *frameConn) write(method string, v any) error {
 	data, err := cbor.Marshal(v)
 	if err != nil {
 		return err
 	}
-	if len(data) > MaxMessage {
+	if len(data) > MaxMessageBytes {
 		return &MessageSizeError{Size: uint32(len(data))}
 	}
-	var n [4]byte
-	binary.BigEndian.PutUint32(n[:], uint32(len(data)))
-	metric.PeerBytes.Add(len(n) + len(data))
+	var prefix [4]byte
+	binary.BigEndian.PutUint32(prefix[:], uint32(len(data)))
+	metric.PeerBytes.Add(len(prefix) + len(data))
 	metric.PeerMessages.Inc()
-	metric.PeerCallBytes(method).Add(len(n) + len(data))
-	if _, err := f.w.Write(n[:]); err != nil {
+	metric.PeerCallBytes(method).Add(len(prefix) + len(data))
+	if _, err := f.w.Write(prefix[:]); err != nil {
 		return err
 	}
 	_, err = f.w.Write(data)
 	return err
 }
 
-// read decodes the next message into v; nil skips it. The buffer grows only
-// with bytes that have arrived, so an announced size costs no memory.
-func (f *frames) read(v any) error {
-	var n [4]byte
-	if _, err := io.ReadFull(f.r, n[:]); err != nil {
+// read decodes the next message into v; if v is nil, it discards the message. The buffer
+// grows only as data arrives, so an announced size alone allocates no memory.
+func (f *frameConn) read(v any) error {
+	var prefix [4]byte
+	if _, err := io.ReadFull(f.r, prefix[:]); err != nil {
 		return err
 	}
-	size := binary.BigEndian.Uint32(n[:])
-	if size > MaxMessage {
+	size := binary.BigEndian.Uint32(prefix[:])
+	if size > MaxMessageBytes {
 		return &MessageSizeError{Size: size}
 	}
 	f.buf = f.buf[:0]
 	for uint32(len(f.buf)) < size {
-		step := min(size-uint32(len(f.buf)), frameBuffer)
+		step := min(size-uint32(len(f.buf)), frameBufferSize)
 		start := len(f.buf)
 		f.buf = append(f.buf, make([]byte, step)...)
 		if _, err := io.ReadFull(f.r, f.buf[start:]); err != nil {
@@ -110,19 +110,19 @@
 	return err
 }
 
-// head is the header of both requests and responses of net/rpc.
-type head struct {
+// header is the header of net/rpc requests and responses.
+type header struct {
 	Method string `cbor:"1,keyasint,omitempty"`
 	Seq    uint64 `cbor:"2,keyasint"`
 	Error  string `cbor:"3,keyasint,omitempty"`
 }
 
 // clientCodec implements rpc.ClientCodec.
-type clientCodec struct{ *frames }
+type clientCodec struct{ *frameConn }
 
 // WriteRequest implements rpc.ClientCodec.
 func (c clientCodec) WriteRequest(r *rpc.Request, body any) error {
-	if err := c.write(r.ServiceMethod, head{Method: r.ServiceMethod, Seq: r.Seq}); err != nil {
+	if err := c.write(r.ServiceMethod, header{Method: r.ServiceMethod, Seq: r.Seq}); err != nil {
 		return err
 	}
 	if err := c.write(r.ServiceMethod, body); err != nil {
@@ -133,7 +133,7 @@
 
 // ReadResponseHeader implements rpc.ClientCodec.
 func (c clientCodec) ReadResponseHeader(r *rpc.Response) error {
-	var h head
+	var h header
 	if err := c.read(&h); err != nil {
 		return err
 	}
@@ -148,11 +148,11 @@
 func (c clientCodec) Close() error { return c.conn.Close() }
 
 // serverCodec implements rpc.ServerCodec.
-type serverCodec struct{ *frames }
+type serverCodec struct{ *frameConn }
 
 // ReadRequestHeader implements rpc.ServerCodec.
 func (c serverCodec) ReadRequestHeader(r *rpc.Request) error {
-	var h head
+	var h header
 	if err := c.read(&h); err != nil {
 		return err
 	}
@@ -165,7 +165,7 @@
 
 // WriteResponse implements rpc.ServerCodec.
 func (c serverCodec) WriteResponse(r *rpc.Response, body any) error {
-	if err := c.write(r.ServiceMethod, head{Method: r.ServiceMethod, Seq: r.Seq, Error: r.Error}); err != nil {
+	if err := c.write(r.ServiceMethod, header{Method: r.ServiceMethod, Seq: r.Seq, Error: r.Error}); err != nil {
 		return err
 	}
 	if err := c.write(r.ServiceMethod, body); err != nil {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -15,23 +15,23 @@
 	"github.com/shedhoist/shedhoist/internal/explain"
 )
 
-// TLSConfig gives the configurations of both sides of a connection.
+// TLSConfig provides the TLS configurations of both sides of a connection.
 type TLSConfig interface {
 	Server() *tls.Config
 	Client() *tls.Config
 }
 
-// Ping probes a peer and carries news both ways.
+// Ping probes a peer and carries membership, target and demand updates.
 type Ping struct {
 	From       member.Member    `cbor:"1,keyasint"`
 	Generation uint64           `cbor:"2,keyasint"`
 	Updates    []member.Member  `cbor:"3,keyasint"`
-	Join       bool             `cbor:"4,keyasint,omitempty"` // answer with all members and targets
+	Join       bool             `cbor:"4,keyasint,omitempty"` // the reply shall list all members and targets
 	Targets    []observe.Digest `cbor:"5,keyasint,omitempty"`
 	Demand     []limit.Demand   `cbor:"6,keyasint,omitempty"`
 }
 
-// Pong is the answer to a Ping.
+// Pong is the reply to a Ping, with updates in the other direction.
 type Pong struct {
 	Generation uint64           `cbor:"1,keyasint"`
 	Updates    []member.Member  `cbor:"2,keyasint"`
@@ -39,165 +39,166 @@
 	Demand     []limit.Demand   `cbor:"4,keyasint,omitempty"`
 }
 
-// Indirect asks a peer to probe another one.
-type Indirect struct {
+// IndirectRequest asks a peer to probe another peer.
+type IndirectRequest struct {
 	Name    string `cbor:"1,keyasint"`
 	Address string `cbor:"2,keyasint"`
 }
 
-// Reached is the answer to an Indirect.
-type Reached struct {
-	OK bool `cbor:"1,keyasint"`
+// IndirectReply is the reply to an IndirectRequest.
+type IndirectReply struct {
+	Reachable bool `cbor:"1,keyasint"`
 }
 
-// ConfigRequest asks for the generation in force at a peer, without the
-// buckets that the asker has.
+// ConfigRequest asks a peer for the generation that it has in force, without the buckets
+// that the requester already holds.
 type ConfigRequest struct {
-	Have []string `cbor:"1,keyasint"` // hashes
+	KnownBuckets []string `cbor:"1,keyasint"` // hashes of the buckets that the requester holds
 }
 
-// ConfigReply is a generation: its head as stored, and the missing buckets.
+// ConfigReply holds a generation: its head as stored, and the missing buckets.
 type ConfigReply struct {
 	Head    []byte            `cbor:"1,keyasint"` // JSON; empty: none in force
 	Buckets map[string][]byte `cbor:"2,keyasint"` // by hash
 }
 
-// Explain asks for a why-record.
-type Explain struct {
+// ExplainRequest asks a peer for the record that explains a request.
+type ExplainRequest struct {
 	ID string `cbor:"1,keyasint"`
 }
 
-// Explained is the answer to Explain.
-type Explained struct {
-	Record *explain.Record `cbor:"1,keyasint"` // nil: not known here
+// ExplainReply is the reply to an ExplainRequest.
+type ExplainReply struct {
+	Record *explain.Record `cbor:"1,keyasint"` // nil: the peer has no record
 }
 
-// StatusRequest asks a peer for its state in brief.
+// StatusRequest asks a peer for a summary of its state.
 type StatusRequest struct{}
 
-// Status is a peer's state in brief.
+// Status summarizes the state of a peer.
 type Status struct {
 	Name       string `cbor:"1,keyasint" json:"name"`
 	Zone       string `cbor:"2,keyasint" json:"zone"`
 	Generation uint64 `cbor:"3,keyasint" json:"generation"`
 	Ready      bool   `cbor:"4,keyasint" json:"ready"`
 	Draining   bool   `cbor:"5,keyasint" json:"draining"`
-	InHand     int64  `cbor:"6,keyasint" json:"requests_in_hand"`
+	InFlight   int64  `cbor:"6,keyasint" json:"requests_in_hand"`
 	PlatformOK bool   `cbor:"7,keyasint" json:"platform_ok"`
 	Version    string `cbor:"8,keyasint" json:"version"`
 }
 
-// Claim asks a keeper to make a claim durable.
-type Claim struct {
+// ClaimRequest asks a ledger keeper to make a claim durable.
+type ClaimRequest struct {
 	Entry atmostonce.Entry `cbor:"1,keyasint"`
 }
 
-// Claimed is the answer to a Claim.
-type Claimed struct {
+// ClaimReply is the reply to a ClaimRequest.
+type ClaimReply struct {
 	Verdict atmostonce.Verdict  `cbor:"1,keyasint"`
 	Outcome *atmostonce.Outcome `cbor:"2,keyasint,omitempty"`
 }
 
-// Settle brings a keeper a claim's outcome.
-type Settle struct {
+// SettleRequest sends the outcome of a claim to a ledger keeper.
+type SettleRequest struct {
 	ID      atmostonce.ID      `cbor:"1,keyasint"`
 	Nonce   atmostonce.Nonce   `cbor:"2,keyasint"`
 	Outcome atmostonce.Outcome `cbor:"3,keyasint"`
 }
 
-// Settled is the answer to a Settle.
-type Settled struct{}
+// SettleReply is the empty reply to a SettleRequest.
+type SettleReply struct{}
 
-// Handler answers peers. Its methods are called from many goroutines.
+// Handler handles calls from peers. Its methods must be safe for concurrent use.
 type Handler interface {
 	Ping(Ping) Pong
 	Config(ConfigRequest) (ConfigReply, error)
 	Explain(id string) *explain.Record
 	Status() Status
-	Claim(Claim) (Claimed, error)
-	Settle(Settle)
+	Claim(ClaimRequest) (ClaimReply, error)
+	Settle(SettleRequest)
 }
 
-// service is the net/rpc face of a Handler. net/rpc wants these signatures.
-type service struct {
-	h    Handler
-	pool *Pool
+// rpcService exposes a Handler with the method signatures that net/rpc requires.
+type rpcService struct {
+	handler Handler
+	pool    *Pool
 }
 
-// Ping answers a probe.
-func (s *service) Ping(req *Ping, out *Pong) error {
-	*out = s.h.Ping(*req)
+// Ping handles a probe.
+func (s *rpcService) Ping(req *Ping, out *Pong) error {
+	*out = s.handler.Ping(*req)
 	return nil
 }
 
-// Indirect probes another peer for the asker.
-func (s *service) Indirect(req *Indirect, out *Reached) error {
+// Indirect probes another peer on behalf of the caller.
+func (s *rpcService) Indirect(req *IndirectRequest, out *IndirectReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), indirectTimeout)
 	defer cancel()
 	var st Status
-	out.OK = s.pool.Call(ctx, req.Address, "Peer.Status", &StatusRequest{}, &st) == nil && st.Name == req.Name
+	out.Reachable = s.pool.Call(ctx, req.Address, "Peer.Status", &StatusRequest{}, &st) == nil && st.Name == req.Name
 	return nil
 }
 
-// Config hands out the generation in force.
-func (s *service) Config(req *ConfigRequest, out *ConfigReply) (err error) {
-	*out, err = s.h.Config(*req)
+// Config returns the generation in force.
+func (s *rpcService) Config(req *ConfigRequest, out *ConfigReply) (err error) {
+	*out, err = s.handler.Config(*req)
 	return err
 }
 
-// Explain looks up a why-record.
-func (s *service) Explain(req *Explain, out *Explained) error {
-	out.Record = s.h.Explain(req.ID)
+// Explain returns the record that explains a request.
+func (s *rpcService) Explain(req *ExplainRequest, out *ExplainReply) error {
+	out.Record = s.handler.Explain(req.ID)
 	return nil
 }
 
-// Claim makes a claim durable for a peer.
-func (s *service) Claim(req *Claim, out *Claimed) (err error) {
-	*out, err = s.h.Claim(*req)
+// Claim makes a claim durable on behalf of a peer.
+func (s *rpcService) Claim(req *ClaimRequest, out *ClaimReply) (err error) {
+	*out, err = s.handler.Claim(*req)
 	return err
 }
 
-// Settle takes a claim's outcome from a peer.
-func (s *service) Settle(req *Settle, _ *Settled) error {
-	s.h.Settle(*req)
+// Settle records the outcome of a claim.
+func (s *rpcService) Settle(req *SettleRequest, _ *SettleReply) error {
+	s.handler.Settle(*req)
 	return nil
 }
 
-// Status tells this instance's state.
-func (s *service) Status(_ *StatusRequest, out *Status) error {
-	*out = s.h.Status()
+// Status returns the state of this instance.
+func (s *rpcService) Status(_ *StatusRequest, out *Status) error {
+	*out = s.handler.Status()
 	return nil
 }
 
 // Bounds of calls between peers.
 const (
+	// Limits on calls and connections between peers.
 	indirectTimeout = 500 * time.Millisecond
-	idleClose       = time.Minute
-	maxInbound      = 1024 // connections accepted at once
+	idleTimeout     = time.Minute
+	maxInboundConns = 1024 // open connections from peers
 )
 
-// Server accepts peers.
+// Server accepts connections from peers and serves their calls.
 type Server struct {
-	rpc   *rpc.Server
-	sec   Security
-	slots chan struct{}
-	mu    sync.Mutex
-	conns map[net.Conn]bool
-	done  bool
+	rpc      *rpc.Server
+	security Security
+	slots    chan struct{}
+	mu       sync.Mutex
+	conns    map[net.Conn]bool
+	closed   bool
 }
 
-// NewServer answers peers by h. Indirect probes go out through pool.
+// NewServer returns a server that passes calls to h. It sends indirect probes through pool.
 func NewServer(h Handler, sec Security, pool *Pool) (*Server, error) {
-	return NewServerOf("Peer", &service{h: h, pool: pool}, sec)
+	return NewServerFor("Peer", &rpcService{handler: h, pool: pool}, sec)
 }
 
-// NewServerOf answers peers by a receiver of net/rpc's kind, under name.
-func NewServerOf(name string, receiver any, sec Security) (*Server, error) {
-	s := &Server{rpc: rpc.NewServer(), sec: sec, slots: make(chan struct{}, maxInbound), conns: map[net.Conn]bool{}}
+// NewServerFor returns a server for a net/rpc receiver, registered under name.
+func NewServerFor(name string, receiver any, sec Security) (*Server, error) {
+	s := &Server{rpc: rpc.NewServer(), security: sec, slots: make(chan struct{}, maxInboundConns), conns: map[net.Conn]bool{}}
 	return s, s.rpc.RegisterName(name, receiver)
 }
 
-// Serve accepts on ln until it is closed.
+// Serve accepts connections on ln until it is closed.
 func (s *Server) Serve(ln net.Listener) error {
 	for {
 		conn, err := ln.Accept()
@@ -224,14 +225,15 @@
 	if err != nil {
 		return
 	}
-	s.rpc.ServeCodec(serverCodec{newFrames(idleConn{secured})})
+	s.rpc.ServeCodec(serverCodec{newFrameConn(idleConn{secured})})
 }
 
-// track keeps the open connections, to close them when the server closes.
+// track adds or removes an open connection, so that Close can close it. It returns false
+// if the server is already closed.
 func (s *Server) track(conn net.Conn, open bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if open && s.done {
+	if open && s.closed {
 		return false
 	}
 	if open {
@@ -242,32 +244,32 @@
 	return true
 }
 
-// Close cuts all connections.
+// Close closes all connections.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.done = true
+	s.closed = true
 	for c := range s.conns {
 		c.Close()
 	}
 }
 
 func (s *Server) secure(conn net.Conn) (net.Conn, error) {
-	if s.sec.TLS == nil {
-		return conn, prove(conn, s.sec.Secret, false)
+	if s.security.TLS == nil {
+		return conn, authenticate(conn, s.security.Secret, false)
 	}
-	t := tls.Server(conn, s.sec.TLS.Server())
+	t := tls.Server(conn, s.security.TLS.Server())
 	ctx, cancel := context.WithTimeout(context.Background(), handshakeTimeout)
 	defer cancel()
 	return t, t.HandshakeContext(ctx)
 }
 
-// idleConn closes a connection that says nothing for a while.
+// idleConn is a connection whose reads time out after idleTimeout.
 type idleConn struct{ net.Conn }
 
 // Read implements io.Reader.
 func (c idleConn) Read(p []byte) (int, error) {
-	if err := c.SetReadDeadline(time.Now().Add(idleClose)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(idleTimeout)); err != nil {
 		return 0, err
 	}
 	return c.Conn.Read(p)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -15,39 +15,39 @@
 	"github.com/shedhoist/shedhoist/internal/core/member"
 )
 
-// oneWay is a connection whose peer has sent some bytes and then nothing.
-type oneWay struct{ io.Reader }
+// readOnlyConn is a connection whose peer sent some bytes and then nothing.
+type readOnlyConn struct{ io.Reader }
 
-// Write swallows what this side says.
-func (oneWay) Write(p []byte) (int, error) { return len(p), nil }
+// Write discards the data.
+func (readOnlyConn) Write(p []byte) (int, error) { return len(p), nil }
 
 // Close does nothing.
-func (oneWay) Close() error { return nil }
+func (readOnlyConn) Close() error { return nil }
 
-func frame(data []byte) []byte {
+func encodeFrame(data []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(data))), data...)
 }
 
-// TestOversize: a message over the bound is refused by its announced size, and
-// one that is announced but never sent costs no memory.
-func TestOversize(t *testing.T) {
+// TestMessageSizeLimit checks that a message whose announced size exceeds the limit is
+// refused, and that one which is announced but never sent allocates no memory.
+func TestMessageSizeLimit(t *testing.T) {
 	is := is.New(t)
 	var size *MessageSizeError
-	big := binary.BigEndian.AppendUint32(nil, MaxMessage+1)
-	is.True(errors.As(newFrames(oneWay{bytes.NewReader(big)}).read(nil), &size))
+	big := binary.BigEndian.AppendUint32(nil, MaxMessageBytes+1)
+	is.True(errors.As(newFrameConn(readOnlyConn{bytes.NewReader(big)}).read(nil), &size))
 
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	announced := binary.BigEndian.AppendUint32(nil, MaxMessage)
-	is.True(newFrames(oneWay{bytes.NewReader(announced)}).read(nil) != nil)
+	announced := binary.BigEndian.AppendUint32(nil, MaxMessageBytes)
+	is.True(newFrameConn(readOnlyConn{bytes.NewReader(announced)}).read(nil) != nil)
 	runtime.ReadMemStats(&after)
 	is.True(after.TotalAlloc-before.TotalAlloc < 1<<20)
 }
 
-// FuzzFrames: whatever bytes a peer sends, reading them ends in an error or a
-// message, never in a panic.
+// FuzzFrames checks that any bytes from a peer are read as messages or fail with an
+// error, and never cause a panic.
 func FuzzFrames(f *testing.F) {
-	head, err := cbor.Marshal(head{Method: "Peer.Ping", Seq: 1})
+	head, err := cbor.Marshal(header{Method: "Peer.Ping", Seq: 1})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -55,11 +55,11 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(append(frame(head), frame(body)...))
-	f.Add(frame([]byte{0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})) // an array of 2^64-1
+	f.Add(append(encodeFrame(head), encodeFrame(body)...))
+	f.Add(encodeFrame([]byte{0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})) // an array of 2^64-1
 	f.Add([]byte{0, 0, 0, 1})
 	f.Fuzz(func(_ *testing.T, data []byte) {
-		c := serverCodec{newFrames(oneWay{bytes.NewReader(data)})}
+		c := serverCodec{newFrameConn(readOnlyConn{bytes.NewReader(data)})}
 		var r rpc.Request
 		for range 4 {
 			if c.ReadRequestHeader(&r) != nil {
@@ -71,7 +71,7 @@
 	})
 }
 
-// BenchmarkPing is the size and cost of one probe's message.
+// BenchmarkPing measures the cost of encoding and decoding one probe, and its size.
 func BenchmarkPing(b *testing.B) {
 	p := Ping{From: member.Member{Name: "entry-101", Address: "10.20.30.40:7000", Zone: "dar-a", Incarnation: 1 << 40}, Generation: 1800}
 	for i := range 8 {
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -26,56 +26,57 @@
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Cause }
 
-// Pool calls peers and keeps a connection to each one lately called.
+// Pool calls peers and reuses one connection to each peer.
 type Pool struct {
-	sec   Security
-	open  Dial
-	now   func() time.Time
-	mu    sync.Mutex
-	conns map[string]*pooled
+	security Security
+	dialFunc DialFunc
+	now      func() time.Time
+	mu       sync.Mutex
+	conns    map[string]*pooledConn
 }
 
-// Dial opens a connection, as net.Dialer.DialContext does.
-type Dial func(ctx context.Context, network, address string) (net.Conn, error)
+// DialFunc opens a connection; it has the signature of net.Dialer.DialContext.
+type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-type pooled struct {
-	client  *rpc.Client
-	used    time.Time
-	calls   int  // under way
-	dropped bool // it gets no further calls, and is closed after those under way
+// pooledConn is a connection of the pool and its state.
+type pooledConn struct {
+	client   *rpc.Client
+	lastUsed time.Time
+	calls    int  // in progress
+	retired  bool // takes no further calls; closed after the last one in progress
 }
 
-// keepIdle is how long an unused connection is kept: less than idleClose, so
-// that a call does not meet a connection the other side is about to close.
-const keepIdle = idleClose / 2
+// maxIdleTime is how long an unused connection is kept. It is shorter than idleTimeout,
+// so that no call uses a connection that the other side is about to close.
+const maxIdleTime = idleTimeout / 2
 
-// NewPool returns a pool without connections.
+// NewPool returns an empty pool.
 func NewPool(sec Security, now func() time.Time) *Pool {
-	return NewPoolOver(nil, sec, now)
+	return NewPoolWithDialer(nil, sec, now)
 }
 
-// NewPoolOver is NewPool on another network; nil is this machine's.
-func NewPoolOver(open Dial, sec Security, now func() time.Time) *Pool {
-	if open == nil {
-		open = netx.Dialer(handshakeTimeout).DialContext
+// NewPoolWithDialer returns an empty pool that opens connections with dial; nil selects
+// this machine's network.
+func NewPoolWithDialer(dial DialFunc, sec Security, now func() time.Time) *Pool {
+	if dial == nil {
+		dial = netx.Dialer(handshakeTimeout).DialContext
 	}
-	return &Pool{sec: sec, open: open, now: now, conns: map[string]*pooled{}}
+	return &Pool{security: sec, dialFunc: dial, now: now, conns: map[string]*pooledConn{}}
 }
 
-// Call calls a method and waits for its reply until ctx ends. A call that
-// fails on the way drops its connection, which may be dead. Others that are under
-// way on it go on to their own ends: where a link is busy, one that was too slow
-// would else take all of them along. It decodes into a value of the call's own, so
-// that an answer that comes late never writes to a reply which its caller has gone
-// on to read.
+// Call calls a method and waits for its reply until ctx ends. If a call fails without a
+// reply, the connection may be dead and takes no further calls. Other calls in progress
+// on it continue: on a congested link, one slow call would otherwise abort all of them.
+// The reply is decoded into a separate value, so that a late reply never writes to
+// memory that the caller already reads.
 func (p *Pool) Call(ctx context.Context, address, method string, args, reply any) error {
-	e, err := p.take(ctx, address)
+	pc, err := p.acquire(ctx, address)
 	if err != nil {
 		return &CallError{Address: address, Method: method, Cause: err}
 	}
-	defer p.release(e)
-	own := reflect.New(reflect.TypeOf(reply).Elem())
-	call := e.client.Go(method, args, own.Interface(), make(chan *rpc.Call, 1))
+	defer p.release(pc)
+	result := reflect.New(reflect.TypeOf(reply).Elem())
+	call := pc.client.Go(method, args, result.Interface(), make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
 		err = call.Error
@@ -83,107 +84,108 @@
 		err = ctx.Err()
 	}
 	if err == nil {
-		reflect.ValueOf(reply).Elem().Set(own.Elem())
+		reflect.ValueOf(reply).Elem().Set(result.Elem())
 		return nil
 	}
-	if _, answered := err.(rpc.ServerError); !answered {
-		p.drop(address, e)
+	if _, replied := err.(rpc.ServerError); !replied {
+		p.retire(address, pc)
 	}
 	return &CallError{Address: address, Method: method, Cause: err}
 }
 
-// take returns a connection to a peer with one more call on it.
-func (p *Pool) take(ctx context.Context, address string) (*pooled, error) {
+// acquire returns a connection to a peer and counts a call on it.
+func (p *Pool) acquire(ctx context.Context, address string) (*pooledConn, error) {
 	p.mu.Lock()
 	now := p.now()
 	p.closeIdle(now)
-	if e := p.conns[address]; e != nil {
+	if pc := p.conns[address]; pc != nil {
 		defer p.mu.Unlock()
-		return e.taken(now), nil
+		return pc.addCall(now), nil
 	}
 	p.mu.Unlock()
 	conn, err := p.dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	c := rpc.NewClientWithCodec(clientCodec{newFrames(conn)})
+	client := rpc.NewClientWithCodec(clientCodec{newFrameConn(conn)})
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if e := p.conns[address]; e != nil { // another goroutine dialled meanwhile
-		c.Close()
-		return e.taken(now), nil
+	if pc := p.conns[address]; pc != nil { // another goroutine dialled in the meantime
+		client.Close()
+		return pc.addCall(now), nil
 	}
-	e := &pooled{client: c}
-	p.conns[address] = e
-	return e.taken(now), nil
+	pc := &pooledConn{client: client}
+	p.conns[address] = pc
+	return pc.addCall(now), nil
 }
 
-// taken counts one more call; the pool's lock is held.
-func (e *pooled) taken(now time.Time) *pooled {
-	e.used = now
-	e.calls++
-	return e
+// addCall counts one more call on the connection. The lock of the pool must be held.
+func (pc *pooledConn) addCall(now time.Time) *pooledConn {
+	pc.lastUsed = now
+	pc.calls++
+	return pc
 }
 
-// release ends a call on a connection.
-func (p *Pool) release(e *pooled) {
+// release ends a call on a connection, and closes a retired one after its last call.
+func (p *Pool) release(pc *pooledConn) {
 	p.mu.Lock()
-	e.calls--
-	last := e.dropped && e.calls == 0
+	pc.calls--
+	last := pc.retired && pc.calls == 0
 	p.mu.Unlock()
 	if last {
-		e.client.Close()
+		pc.client.Close()
 	}
 }
 
-// closeIdle drops what was long unused; p.mu is held.
+// closeIdle closes connections that were idle longer than maxIdleTime; p.mu must be held.
 func (p *Pool) closeIdle(now time.Time) {
-	for a, e := range p.conns {
-		if e.calls == 0 && now.Sub(e.used) > keepIdle {
-			e.client.Close()
-			delete(p.conns, a)
+	for address, pc := range p.conns {
+		if pc.calls == 0 && now.Sub(pc.lastUsed) > maxIdleTime {
+			pc.client.Close()
+			delete(p.conns, address)
 		}
 	}
 }
 
+// dial opens and authenticates a connection.
 func (p *Pool) dial(ctx context.Context, address string) (net.Conn, error) {
-	conn, err := p.open(ctx, "tcp", address)
+	conn, err := p.dialFunc(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	if p.sec.TLS == nil {
-		if err := prove(conn, p.sec.Secret, true); err != nil {
+	if p.security.TLS == nil {
+		if err := authenticate(conn, p.security.Secret, true); err != nil {
 			conn.Close()
 			return nil, err
 		}
 		return conn, nil
 	}
-	t := tls.Client(conn, p.sec.TLS.Client())
+	t := tls.Client(conn, p.security.TLS.Client())
 	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
 	if err := t.HandshakeContext(ctx); err != nil {
 		conn.Close()
-		return nil, &IdentityError{Address: address, Cause: err}
+		return nil, &AuthenticationError{Address: address, Cause: err}
 	}
 	return t, nil
 }
 
-// drop gives a connection no further calls.
-func (p *Pool) drop(address string, e *pooled) {
+// retire removes a connection from the pool, so that it takes no further calls.
+func (p *Pool) retire(address string, pc *pooledConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	e.dropped = true
-	if p.conns[address] == e {
+	pc.retired = true
+	if p.conns[address] == pc {
 		delete(p.conns, address)
 	}
 }
 
-// Close drops all connections.
+// Close closes all connections.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for a, e := range p.conns {
-		e.client.Close()
-		delete(p.conns, a)
+	for address, pc := range p.conns {
+		pc.client.Close()
+		delete(p.conns, address)
 	}
 }
--- a/internal/peer/pool_test.go
+++ b/internal/peer/pool_test.go
@@ -11,21 +11,21 @@
 	"github.com/shedhoist/shedhoist/internal/explain"
 )
 
-// answers is a peer that answers as its caller gives up.
-type answers struct{ giveUp chan context.CancelFunc }
+// cancellingHandler replies to a Ping just as it cancels the caller's context.
+type cancellingHandler struct{ cancels chan context.CancelFunc }
 
-func (a answers) Ping(Ping) Pong {
-	(<-a.giveUp)()
+func (a cancellingHandler) Ping(Ping) Pong {
+	(<-a.cancels)()
 	return Pong{Generation: 7}
 }
-func (answers) Config(ConfigRequest) (ConfigReply, error) { return ConfigReply{}, nil }
-func (answers) Explain(string) *explain.Record            { return nil }
-func (answers) Status() Status                            { return Status{} }
-func (answers) Claim(Claim) (Claimed, error)              { return Claimed{}, nil }
-func (answers) Settle(Settle)                             {}
+func (cancellingHandler) Config(ConfigRequest) (ConfigReply, error) { return ConfigReply{}, nil }
+func (cancellingHandler) Explain(string) *explain.Record            { return nil }
+func (cancellingHandler) Status() Status                            { return Status{} }
+func (cancellingHandler) Claim(ClaimRequest) (ClaimReply, error)    { return ClaimReply{}, nil }
+func (cancellingHandler) Settle(SettleRequest)                      {}
 
-// serve starts a peer and returns a pool to call it with, and its address.
-func serve(t *testing.T, h Handler) (*Pool, string) {
+// startServer starts a server and returns a pool to call it with, and its address.
+func startServer(t *testing.T, h Handler) (*Pool, string) {
 	is := is.New(t)
 	sec := Security{Secret: []byte("s")}
 	pool := NewPool(sec, time.Now)
@@ -42,16 +42,16 @@
 	return pool, ln.Addr().String()
 }
 
-// TestLateReply: a call that was given up leaves its reply alone, though the
-// answer comes in while the caller reads it. Before each call had a reply of its
-// own, the race detector found the two at once.
+// TestLateReply guards against a data race: a reply that arrives after its call was
+// cancelled must not write to the caller's value while the caller reads it. The race
+// detector found this when calls decoded directly into that value.
 func TestLateReply(t *testing.T) {
 	is := is.New(t)
-	a := answers{make(chan context.CancelFunc, 1)}
-	pool, address := serve(t, a)
+	a := cancellingHandler{make(chan context.CancelFunc, 1)}
+	pool, address := startServer(t, a)
 	for range 300 {
 		ctx, cancel := context.WithCancel(t.Context())
-		a.giveUp <- cancel
+		a.cancels <- cancel
 		var late Pong
 		err := pool.Call(ctx, address, "Peer.Ping", &Ping{}, &late)
 		for range 1000 {
@@ -60,41 +60,41 @@
 	}
 }
 
-// slow is a peer that explains only once it is told to.
-type slow struct {
-	answers
-	asked, goOn chan struct{}
+// blockingHandler blocks in Explain until proceed is closed.
+type blockingHandler struct {
+	cancellingHandler
+	entered, proceed chan struct{}
 }
 
-func (s slow) Explain(id string) *explain.Record {
-	s.asked <- struct{}{}
-	<-s.goOn
+func (s blockingHandler) Explain(id string) *explain.Record {
+	s.entered <- struct{}{}
+	<-s.proceed
 	return &explain.Record{ID: id}
 }
 
-// TestOthersGoOn: a call that takes too long ends for itself. The others under way on its
-// connection go on, and further ones get a new connection.
-func TestOthersGoOn(t *testing.T) {
+// TestTimeoutKeepsOtherCalls checks that a call which times out ends alone: other calls
+// in progress on its connection complete, and new ones get a new connection.
+func TestTimeoutKeepsOtherCalls(t *testing.T) {
 	is := is.New(t)
-	p := slow{answers{make(chan context.CancelFunc, 1)}, make(chan struct{}), make(chan struct{})}
-	pool, address := serve(t, p)
+	p := blockingHandler{cancellingHandler{make(chan context.CancelFunc, 1)}, make(chan struct{}), make(chan struct{})}
+	pool, address := startServer(t, p)
 
-	var out Explained
+	var out ExplainReply
 	ended := make(chan error, 1)
 	go func() {
-		ended <- pool.Call(t.Context(), address, "Peer.Explain", &Explain{ID: "r"}, &out)
+		ended <- pool.Call(t.Context(), address, "Peer.Explain", &ExplainRequest{ID: "r"}, &out)
 	}()
-	<-p.asked
+	<-p.entered
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		<-p.asked
+		<-p.entered
 		cancel()
 	}()
-	var none Explained
-	is.True(pool.Call(ctx, address, "Peer.Explain", &Explain{ID: "given up"}, &none) != nil)
+	var none ExplainReply
+	is.True(pool.Call(ctx, address, "Peer.Explain", &ExplainRequest{ID: "given up"}, &none) != nil)
 	var st Status
 	is.NoErr(pool.Call(t.Context(), address, "Peer.Status", &StatusRequest{}, &st))
-	close(p.goOn)
+	close(p.proceed)
 	is.NoErr(<-ended)
 	is.Equal(out.Record.ID, "r")
 }
--- a/internal/tool/state.go
+++ b/internal/tool/state.go
@@ -159,7 +159,7 @@
 				fmt.Fprintf(w, "generation %d in force everywhere: %v\n", f.Generation, f.Everywhere)
 				fmt.Fprintln(w, "INSTANCE\tZONE\tGENERATION\tREADY\tDRAINING\tIN HAND\tPLATFORM")
 				for _, st := range f.Instances {
-					fmt.Fprintf(w, "%s\t%s\t%d\t%v\t%v\t%d\t%s\n", st.Name, st.Zone, st.Generation, st.Ready, st.Draining, st.InHand, reached(st.PlatformOK))
+					fmt.Fprintf(w, "%s\t%s\t%d\t%v\t%v\t%d\t%s\n", st.Name, st.Zone, st.Generation, st.Ready, st.Draining, st.InFlight, reached(st.PlatformOK))
 				}
 				for _, name := range f.Unreached {
 					fmt.Fprintf(w, "%s\t?\t?\t?\t?\t?\tinstance not reached\n", name)
