--- a/internal/caller/model.go
+++ b/internal/caller/model.go
@@ -203,7 +203,7 @@
 // model is the endpoint of both model paths.
 func (e *Edge) model(ctx context.Context, request any) (any, error) {
 	req, c := request.(*modelRequest), callOf(ctx)
-	if !c.customer.MayUse(req.model) {
+	if !c.customer.MayUseModel(req.model) {
 		return nil, problem.New(problem.UnknownModel, "no model "+strconv.Quote(req.model))
 	}
 	m := c.view.Models[req.model]
@@ -285,8 +285,8 @@
 			return nil, err
 		}
 		text.WriteString(c.Text)
-		if c.Finish != "" {
-			finish = c.Finish
+		if c.FinishReason != "" {
+			finish = c.FinishReason
 		}
 	}
 	out := &wholeBody{ID: a.id, Object: "text_completion", Created: a.created.Unix(), Model: a.req.model, Usage: a.live.Usage()}
--- a/internal/caller/other.go
+++ b/internal/caller/other.go
@@ -47,7 +47,7 @@
 		out.Data = append(out.Data, modelItem{ID: id, Object: "model", OwnedBy: "shedhoist"})
 	}
 	for name, m := range c.view.Models {
-		if !c.customer.MayUse(name) {
+		if !c.customer.MayUseModel(name) {
 			continue
 		}
 		add(name)
@@ -101,7 +101,7 @@
 // service is the endpoint of plain services.
 func (e *Edge) service(ctx context.Context, request any) (any, error) {
 	req, c := request.(*serviceRequest), callOf(ctx)
-	if !c.customer.MayCall(req.name) {
+	if !c.customer.MayCallService(req.name) {
 		return nil, problem.New(problem.UnknownService, "no service "+strconv.Quote(req.name))
 	}
 	s := c.view.Services[req.name]
@@ -122,7 +122,7 @@
 	switch r := response.(type) {
 	case *streamed:
 		r.write(w)
-	case *target.Answer:
+	case *target.Response:
 		writeAnswer(w, r)
 	default:
 		data, err := json.Marshal(response)
@@ -137,7 +137,7 @@
 }
 
 // writeAnswer passes on a service's whole answer.
-func writeAnswer(w http.ResponseWriter, a *target.Answer) {
+func writeAnswer(w http.ResponseWriter, a *target.Response) {
 	id := w.Header().Get(target.HeaderRequestID)
 	for name, values := range stripHop(a.Header) {
 		w.Header()[name] = values
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -87,7 +87,7 @@
 	out := &view.View{Config: c.cfg, Targets: route.NewSnapshot(c.targets.Targets(c.now()), c.snapshot), Draining: c.draining}
 	c.snapshot = out.Targets
 	c.settled = c.settled || (c.cfg != nil && c.targets.AllObserved())
-	out.Settled = c.settled
+	out.TargetsProbed = c.settled
 	if c.cfg != nil && c.cfg.Drained[self] {
 		out.Draining = true
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -209,7 +209,7 @@
 // configuration, has asked every target once, and does not drain.
 func (d *Daemon) Ready() bool {
 	v := d.view.Load()
-	return v.Config != nil && v.Settled && !v.Draining
+	return v.Config != nil && v.TargetsProbed && !v.Draining
 }
 
 // callerHandler adds the balancer's probes to the callers' endpoints, and asks
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -231,7 +231,7 @@
 		return
 	}
 	metric.Orders.Inc()
-	st, err := o.d.engines.Order(ctx, address, target.Order{Kind: target.OrderLoad, Version: l.Version, Fence: token})
+	st, err := o.d.engines.Order(ctx, address, target.Order{Kind: target.OrderLoad, Version: l.Version, FencingToken: token})
 	entry := o.d.log.WithField("target", l.Target).WithField("weight_version", l.Version).WithField("token", strconv.FormatUint(token, 10))
 	var call *target.CallError
 	refused := errors.As(err, &call) && call.Status == 422
--- a/internal/dispatch/claim.go
+++ b/internal/dispatch/claim.go
@@ -25,7 +25,7 @@
 // claim makes the claim of a keyed request that is not idempotent. It returns
 // nil for a request that needs none, the stored answer of an earlier run, or
 // the final problem. Only a returned entry may be dispatched.
-func (d *Dispatcher) claim(ctx context.Context, req *ServiceRequest, idempotent bool) (*atmostonce.Entry, *target.Answer, error) {
+func (d *Dispatcher) claim(ctx context.Context, req *ServiceRequest, idempotent bool) (*atmostonce.Entry, *target.Response, error) {
 	key := req.Header.Get(headerKey)
 	if idempotent || key == "" {
 		return nil, nil, nil
@@ -43,7 +43,7 @@
 	if err != nil {
 		// Should the claim be durable after all, free it: it is not dispatched.
 		d.Ledger.Settle(e.ID, e.Nonce, atmostonce.Outcome{Void: true})
-		p := problem.New(problem.LedgerDown, "the ledger of requests that may not be repeated can't be reached")
+		p := problem.New(problem.LedgerUnavailable, "the ledger of requests that may not be repeated can't be reached")
 		p.RetryAfter = ledgerRetry
 		return nil, nil, p
 	}
@@ -53,7 +53,7 @@
 // ledgerRetry is when a caller may come back after a ledger failure.
 const ledgerRetry = 2 * time.Second
 
-func (d *Dispatcher) judge(e *atmostonce.Entry, a atmostonce.Result) (*atmostonce.Entry, *target.Answer, error) {
+func (d *Dispatcher) judge(e *atmostonce.Entry, a atmostonce.Result) (*atmostonce.Entry, *target.Response, error) {
 	switch a.Verdict {
 	case atmostonce.Granted:
 		return e, nil, nil
@@ -65,7 +65,7 @@
 			if a.Outcome.ContentType != "" {
 				h.Set("Content-Type", a.Outcome.ContentType)
 			}
-			return nil, &target.Answer{Status: a.Outcome.Status, Header: h, Body: a.Outcome.Body}, nil
+			return nil, &target.Response{Status: a.Outcome.Status, Header: h, Body: a.Outcome.Body}, nil
 		}
 		return nil, nil, &problem.Problem{Kind: problem.OutcomeUnknown, Execution: problem.Ran, Detail: "it ran; its answer was too long to keep"}
 	}
@@ -75,7 +75,7 @@
 
 // settle tells the ledger what became of a claim. One whose request may have
 // run without an answer is left as it is.
-func (d *Dispatcher) settle(claim *atmostonce.Entry, answer *target.Answer, ex problem.Execution) {
+func (d *Dispatcher) settle(claim *atmostonce.Entry, answer *target.Response, ex problem.Execution) {
 	switch {
 	case claim == nil:
 	case answer != nil:
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -137,7 +137,7 @@
 	var notSent *target.NotSentError
 	var refused *target.RefusedError
 	var mismatch *target.MismatchError
-	var broken *target.BrokenError
+	var broken *target.IncompleteError
 	switch {
 	case errors.As(err, &notSent):
 		return attempt.NotSent
@@ -145,7 +145,7 @@
 		return attempt.Refused
 	case errors.As(err, &mismatch):
 		return attempt.Mismatched
-	case errors.As(err, &broken) && broken.Began:
+	case errors.As(err, &broken) && broken.ResponseStarted:
 		return attempt.FailedMidResponse
 	}
 	return attempt.FailedBeforeResponse
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -146,7 +146,7 @@
 	switch {
 	case dec.Action == route.Restore:
 		att.Store = k.store.Name
-		ext.Import = &target.Import{Stores: []string{k.store.Address}, Manifest: k.found.Manifest, Covered: k.found.Covered}
+		ext.Import = &target.Import{Stores: []string{k.store.Address}, Manifest: k.found.Manifest, CoveredKeys: k.found.Covered}
 	case dec.Action == route.Reuse && l.worthKeeping():
 		// The belief may be stale: name the stores, so that the engine, which
 		// knows what it holds, can fetch what it lacks instead of computing it.
--- a/internal/dispatch/rest_test.go
+++ b/internal/dispatch/rest_test.go
@@ -48,7 +48,7 @@
 	m.reached.Add(1)
 	w.Header().Set(target.HeaderRequestID, r.Header.Get(target.HeaderRequestID))
 	if after := m.retryAfter.Load(); after != nil {
-		w.Header().Set(target.HeaderExecution, target.RefusedNotRun)
+		w.Header().Set(target.HeaderExecution, target.ExecutionNotRun)
 		if *after != "" {
 			w.Header().Set("Retry-After", *after)
 		}
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -254,7 +254,7 @@
 		l.usage = *c.Usage
 		return true
 	}
-	if c.Text == "" && c.Finish == "" && l.text.Len() > 0 {
+	if c.Text == "" && c.FinishReason == "" && l.text.Len() > 0 {
 		return false
 	}
 	if c.Text != "" {
@@ -291,10 +291,10 @@
 	att.Result = attempt.Done.String()
 	metric.Attempts(att.Target, att.Result).Inc()
 	u := l.usage
-	l.rec.CachedTokens, l.rec.RestoredTokens, l.rec.GeneratedTokens = u.Details.CachedTokens, u.Details.RestoredTokens, u.CompletionTokens
+	l.rec.CachedTokens, l.rec.RestoredTokens, l.rec.GeneratedTokens = u.PromptDetails.CachedTokens, u.PromptDetails.RestoredTokens, u.CompletionTokens
 	metric.PromptTokens.Add(u.PromptTokens)
-	metric.CachedTokens.Add(u.Details.CachedTokens)
-	metric.RestoredTokens.Add(u.Details.RestoredTokens)
+	metric.CachedTokens.Add(u.PromptDetails.CachedTokens)
+	metric.RestoredTokens.Add(u.PromptDetails.RestoredTokens)
 	metric.GeneratedTokens.Add(u.CompletionTokens)
 	if l.worthKeeping() && l.newToStore(att) {
 		l.d.keep(l)
@@ -310,7 +310,7 @@
 // newToStore says whether the store may lack part of the chain: something was
 // computed rather than restored.
 func (l *Live) newToStore(att *explain.Attempt) bool {
-	return l.usage.PromptTokens-l.usage.Details.CachedTokens >= prefix.ChunkBytes/prefix.BytesPerToken || att.Action == route.Recompute.String()
+	return l.usage.PromptTokens-l.usage.PromptDetails.CachedTokens >= prefix.ChunkBytes/prefix.BytesPerToken || att.Action == route.Recompute.String()
 }
 
 // fail closes the books of a request that ends in a problem.
--- a/internal/dispatch/service.go
+++ b/internal/dispatch/service.go
@@ -64,7 +64,7 @@
 
 // Call sends a request to a service and returns its whole answer, or the
 // final *problem.Problem.
-func (d *Dispatcher) Call(ctx context.Context, req *ServiceRequest) (*target.Answer, error) {
+func (d *Dispatcher) Call(ctx context.Context, req *ServiceRequest) (*target.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, Timeout(req.Service))
 	defer cancel()
 	idempotent := Idempotent(req.Service, req.Method, req.Path)
@@ -92,7 +92,7 @@
 
 // tryInstances goes through the service's instances, nearest first, until the
 // machine ends the request. Those that ask for rest are passed over.
-func (d *Dispatcher) tryInstances(ctx context.Context, req *ServiceRequest, m *attempt.Request, rec *explain.Record, idempotent bool) (*target.Answer, attempt.Verdict, error) {
+func (d *Dispatcher) tryInstances(ctx context.Context, req *ServiceRequest, m *attempt.Request, rec *explain.Record, idempotent bool) (*target.Response, attempt.Verdict, error) {
 	var cause error
 	retries, asking := 0, false
 	for _, inst := range d.order(req) {
@@ -106,7 +106,7 @@
 		}
 		retries++
 		answer, err := d.Targets.Do(ctx, target.Call{Target: inst.Name, Address: inst.Address, Method: req.Method, Path: req.Path,
-			Header: req.Header, Body: req.Body, ID: req.ID, EchoesID: req.Service.EchoesID, Idempotent: idempotent, MaxAnswer: d.Answer})
+			Header: req.Header, Body: req.Body, ID: req.ID, EchoesID: req.Service.EchoesID, Idempotent: idempotent, MaxResponseBytes: d.Answer})
 		ev := attempt.Done
 		if err != nil {
 			ev, cause = eventOf(ctx, err), err
--- a/internal/e2e/cache_test.go
+++ b/internal/e2e/cache_test.go
@@ -42,7 +42,7 @@
 	f.Engines[0].DropCache()
 	got := a.send(t, f.URL(0), f.Keys[0])
 	is.Equal(got.text, a.want(fleet.Version))
-	is.Equal(got.usage.Details.RestoredTokens, 16*1024)
+	is.Equal(got.usage.PromptDetails.RestoredTokens, 16*1024)
 	is.Equal(f.Daemons[0].Explain(got.header.Get("X-Request-Id")).LastAction(), "reuse") // the belief was wrong
 	is.Equal(f.Engines[0].Counters().ComputedTokens, int64(16*1024))                     // once, the first time
 }
@@ -70,10 +70,10 @@
 			f.Stores[0].SetFaults(c.fault)
 			got := a.send(t, f.URL(0), f.Keys[0])
 			is.Equal(got.text, a.want(fleet.Version))
-			if got.usage.Details.RestoredTokens != c.restored {
+			if got.usage.PromptDetails.RestoredTokens != c.restored {
 				t.Logf("why: %+v", f.Daemons[0].Explain(got.header.Get("X-Request-Id")))
 			}
-			is.Equal(got.usage.Details.RestoredTokens, c.restored)
+			is.Equal(got.usage.PromptDetails.RestoredTokens, c.restored)
 			is.Equal(f.Engines[0].Counters().WrongBlocks, 0)
 		})
 	}
@@ -93,7 +93,7 @@
 	f.Engines[0].DropCache()
 	got := a.send(t, f.URL(0), f.Keys[0])
 	is.Equal(got.text, a.want(fleet.Version))
-	is.Equal(got.usage.Details.RestoredTokens, 0)
+	is.Equal(got.usage.PromptDetails.RestoredTokens, 0)
 }
 
 func dumpOf(s *store.Server) string {
@@ -111,9 +111,9 @@
 	a := ask{prompt: rules, tokens: tokens}
 	kept(t, f, a, f.Keys[0])
 	other := a.send(t, f.URL(1), f.Keys[1])
-	is.Equal(other.usage.Details.CachedTokens, 0)
+	is.Equal(other.usage.PromptDetails.CachedTokens, 0)
 	f.Engines[0].DropCache()
 	own := a.send(t, f.URL(1), f.Keys[0])
-	is.Equal(own.usage.Details.RestoredTokens, 16*1024)
+	is.Equal(own.usage.PromptDetails.RestoredTokens, 16*1024)
 	is.Equal(f.Engines[0].Counters().WrongBlocks, 0)
 }
--- a/internal/e2e/rollout_test.go
+++ b/internal/e2e/rollout_test.go
@@ -132,7 +132,7 @@
 			before := f.Engines[0].Counters()
 			c := target.NewClient(1e9)
 			defer c.Close()
-			_, err := c.Order(t.Context(), f.EngineAddrs[0], target.Order{Kind: target.OrderLoad, Version: "v1", Fence: 1})
+			_, err := c.Order(t.Context(), f.EngineAddrs[0], target.Order{Kind: target.OrderLoad, Version: "v1", FencingToken: 1})
 			is.Equal(err != nil, fenced)
 			is.Equal(f.Engines[0].Counters().StaleOrders, before.StaleOrders+1)
 			if !fenced {
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -120,9 +120,9 @@
 	if errors.Is(err, syscall.ETIMEDOUT) {
 		x.g.zoneMonitor.connectSlow(t)
 	}
-	end := attemptResult{cause: err, event: attempt.FailedBeforeResponse, connBroken: way.Sent}
+	end := attemptResult{cause: err, event: attempt.FailedBeforeResponse, connBroken: way.MaybeSent}
 	switch {
-	case err != nil && !way.Sent:
+	case err != nil && !way.MaybeSent:
 		end.event = attempt.NotSent
 	case err == nil:
 		defer resp.Body.Close()
@@ -147,9 +147,9 @@
 }
 
 // saveResultOf says how a request that asks for saves ended.
-func saveResultOf(way netx.Way, err error, left bool) saveResult {
+func saveResultOf(way netx.SendInfo, err error, left bool) saveResult {
 	switch {
-	case err != nil && !way.Sent:
+	case err != nil && !way.MaybeSent:
 		return saveNotSent
 	case left || errors.Is(err, syscall.ETIMEDOUT):
 		return saveAbandoned
@@ -160,9 +160,9 @@
 // noteNewConnRetry lets a request go to the same target by a new connection, if it failed on a kept
 // one that had ended, or on which the answer to another request lay: that says nothing of
 // the target.
-func (x *exchange) noteNewConnRetry(t *catalog.Target, way netx.Way, end attemptResult, inTime bool) {
+func (x *exchange) noteNewConnRetry(t *catalog.Target, way netx.SendInfo, end attemptResult, inTime bool) {
 	x.newConnTarget = ""
-	if way.Kept && inTime && (end.event == attempt.FailedBeforeResponse || end.event == attempt.Mismatched) {
+	if way.Reused && inTime && (end.event == attempt.FailedBeforeResponse || end.event == attempt.Mismatched) {
 		x.newConnTarget = t.ID
 	}
 }
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -59,7 +59,7 @@
 // newClient returns a client that keeps connections by the life of a target: one that was
 // opened to an earlier life, perhaps behind a cut, is never used for a later one.
 func newClient(dial peer.DialFunc, perTarget int, idle time.Duration) *http.Client {
-	t := netx.Transport(netx.TransportOptions{Connect: targetConnectTimeout, IdlePerHost: perTarget, IdleFor: idle})
+	t := netx.Transport(netx.TransportOptions{ConnectTimeout: targetConnectTimeout, MaxIdlePerHost: perTarget, IdleTimeout: idle})
 	t.DialContext = func(ctx context.Context, network, _ string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, targetConnectTimeout)
 		defer cancel()
@@ -139,9 +139,9 @@
 
 // send issues the request once. The body can't be rewound, so that net/http never sends it
 // a second time.
-func (u *upstream) send(ctx context.Context, o upstreamRequest) (resp *http.Response, way netx.Way, err error) {
+func (u *upstream) send(ctx context.Context, o upstreamRequest) (resp *http.Response, way netx.SendInfo, err error) {
 	to := &url.URL{Scheme: "http", Host: incarnationHost(o.targetID), Path: o.url.Path, RawPath: o.url.RawPath, RawQuery: o.url.RawQuery, ForceQuery: o.url.ForceQuery}
-	req := (&http.Request{Method: o.method, URL: to, Host: o.host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: o.header, Body: netx.OnceBody(bytes.NewReader(o.body)),
+	req := (&http.Request{Method: o.method, URL: to, Host: o.host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: o.header, Body: netx.SingleUseBody(bytes.NewReader(o.body)),
 		ContentLength: int64(len(o.body))}).WithContext(context.WithValue(ctx, dialKey{}, dialTarget{address: o.address, onSlow: o.onSlow}))
 	if req.Host == "" {
 		req.Host = o.address
--- a/internal/logline/logline.go
+++ b/internal/logline/logline.go
@@ -10,18 +10,18 @@
 )
 
 // Capture takes all that is written by package log's own logger.
-func Capture(to log.Interface) {
+func Capture(dest log.Interface) {
 	stdlog.SetFlags(0)
-	stdlog.SetOutput(writer{to})
+	stdlog.SetOutput(lineWriter{dest})
 }
 
 // Logger returns a logger of package log whose lines become debug lines.
-func Logger(to log.Interface) *stdlog.Logger { return stdlog.New(writer{to}, "", 0) }
+func Logger(dest log.Interface) *stdlog.Logger { return stdlog.New(lineWriter{dest}, "", 0) }
 
-type writer struct{ to log.Interface }
+type lineWriter struct{ dest log.Interface }
 
 // Write implements io.Writer.
-func (w writer) Write(p []byte) (int, error) {
-	w.to.WithField("from", "library").Debug(strings.TrimSpace(string(p)))
+func (w lineWriter) Write(p []byte) (int, error) {
+	w.dest.WithField("from", "library").Debug(strings.TrimSpace(string(p)))
 	return len(p), nil
 }
--- a/internal/netx/netx.go
+++ b/internal/netx/netx.go
@@ -22,18 +22,18 @@
 	// unackedTimeout ends a connection whose sent bytes stay unacknowledged: well
 	// above a round trip (milliseconds) and one retransmission.
 	unackedTimeout = 1500 * time.Millisecond
-	// keepAliveIdle, keepAliveEvery and keepAliveCount find a dead end that nothing
+	// keepAliveIdle, keepAliveInterval and keepAliveCount find a dead end that nothing
 	// is being sent to, within 3 s.
-	keepAliveIdle  = time.Second
-	keepAliveEvery = 500 * time.Millisecond
-	keepAliveCount = 4
+	keepAliveIdle     = time.Second
+	keepAliveInterval = 500 * time.Millisecond
+	keepAliveCount    = 4
 )
 
-var keepAlive = net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveEvery, Count: keepAliveCount}
+var keepAlive = net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}
 
-// watchSilence sets the bound on unacknowledged bytes. It is best effort: a
+// setUserTimeout sets the bound on unacknowledged bytes. It is best effort: a
 // kernel without the option still has the keep-alive probes.
-func watchSilence(_, _ string, c syscall.RawConn) error {
+func setUserTimeout(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 	})
@@ -41,57 +41,57 @@
 
 // Dialer returns a dialer whose connects are bounded by timeout.
 func Dialer(timeout time.Duration) *net.Dialer {
-	return &net.Dialer{Timeout: timeout, KeepAliveConfig: keepAlive, Control: watchSilence}
+	return &net.Dialer{Timeout: timeout, KeepAliveConfig: keepAlive, Control: setUserTimeout}
 }
 
 // Listen opens a TCP listener whose connections are watched for silence.
 func Listen(address string) (net.Listener, error) {
-	lc := net.ListenConfig{KeepAliveConfig: keepAlive, Control: watchSilence}
+	lc := net.ListenConfig{KeepAliveConfig: keepAlive, Control: setUserTimeout}
 	return lc.Listen(context.Background(), "tcp", address)
 }
 
 // TransportOptions are the dials of a transport.
 type TransportOptions struct {
-	Connect     time.Duration // bound on a connect
-	IdlePerHost int           // connections kept for each host; 0: none, each request gets its own
-	IdleFor     time.Duration // how long a connection is kept unused; 0: until the other end closes it
+	ConnectTimeout time.Duration // bound on a connect
+	MaxIdlePerHost int           // connections kept for each host; 0: none, each request gets its own
+	IdleTimeout    time.Duration // how long a connection is kept unused; 0: until the other end closes it
 }
 
-// maxAnswerHeader bounds the header of an answer, in bytes.
-const maxAnswerHeader = 64 << 10
+// maxResponseHeaderBytes bounds the header of an answer, in bytes.
+const maxResponseHeaderBytes = 64 << 10
 
 // Transport returns a transport that neither compresses, nor follows proxies of
 // the environment.
 func Transport(o TransportOptions) *http.Transport {
-	return &http.Transport{DialContext: Dialer(o.Connect).DialContext, DisableCompression: true, DisableKeepAlives: o.IdlePerHost == 0,
-		MaxIdleConnsPerHost: o.IdlePerHost, IdleConnTimeout: o.IdleFor, MaxResponseHeaderBytes: maxAnswerHeader}
+	return &http.Transport{DialContext: Dialer(o.ConnectTimeout).DialContext, DisableCompression: true, DisableKeepAlives: o.MaxIdlePerHost == 0,
+		MaxIdleConnsPerHost: o.MaxIdlePerHost, IdleConnTimeout: o.IdleTimeout, MaxResponseHeaderBytes: maxResponseHeaderBytes}
 }
 
-// once hides the type of a reader, so that net/http finds no way to rewind it
+// singleUseReader hides the type of a reader, so that net/http finds no way to rewind it
 // and can't replay the request by itself.
-type once struct{ r io.Reader }
+type singleUseReader struct{ r io.Reader }
 
 // Read implements io.Reader.
-func (b once) Read(p []byte) (int, error) { return b.r.Read(p) }
+func (b singleUseReader) Read(p []byte) (int, error) { return b.r.Read(p) }
 
-// OnceBody returns a body that can be sent once only.
-func OnceBody(r io.Reader) io.ReadCloser { return io.NopCloser(once{r}) }
+// SingleUseBody returns a body that can be sent once only.
+func SingleUseBody(r io.Reader) io.ReadCloser { return io.NopCloser(singleUseReader{r}) }
 
-// Way is how a request went out.
-type Way struct {
-	Sent bool // any byte of it may have reached a connection
-	Kept bool // that had served others before
+// SendInfo is how a request went out.
+type SendInfo struct {
+	MaybeSent bool // any byte of it may have reached a connection
+	Reused    bool // that had served others before
 }
 
 // Send issues a request. The transport reports a connection as got before it writes to it.
-func Send(hc *http.Client, req *http.Request) (resp *http.Response, way Way, err error) {
-	var got, kept atomic.Bool
-	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
-		kept.Store(info.Reused)
-		got.Store(true)
+func Send(hc *http.Client, req *http.Request) (resp *http.Response, info SendInfo, err error) {
+	var gotConn, reused atomic.Bool
+	trace := &httptrace.ClientTrace{GotConn: func(connInfo httptrace.GotConnInfo) {
+		reused.Store(connInfo.Reused)
+		gotConn.Store(true)
 	}}
 	resp, err = hc.Do(req.WithContext(httptrace.WithClientTrace(req.Context(), trace)))
-	return resp, Way{Sent: got.Load(), Kept: kept.Load()}, err
+	return resp, SendInfo{MaybeSent: gotConn.Load(), Reused: reused.Load()}, err
 }
 
 // NoRedirect hands a redirect to the caller of a client: to follow it would send
--- a/internal/problem/problem.go
+++ b/internal/problem/problem.go
@@ -28,33 +28,33 @@
 
 // Every kind a caller or an operator can meet.
 const (
-	BadRequest     Kind = "bad-request"
-	Unauthorized   Kind = "unauthorized"
-	Forbidden      Kind = "forbidden"
-	UnknownModel   Kind = "unknown-model"
-	UnknownService Kind = "unknown-service"
-	NotFound       Kind = "not-found"
-	TooLarge       Kind = "too-large"
-	HeaderTooLarge Kind = "header-too-large"
-	SlowSender     Kind = "slow-sender"
-	LimitExceeded  Kind = "limit-exceeded"
-	Overloaded     Kind = "overloaded"
-	NoTarget       Kind = "no-target"
-	TargetFailed   Kind = "target-failed"
-	TargetTimeout  Kind = "target-timeout"
-	BadAnswer      Kind = "bad-answer"
-	KeyReused      Kind = "idempotency-key-reused"
-	OutcomeUnknown Kind = "outcome-unknown"
-	LedgerDown     Kind = "ledger-unavailable"
-	Draining       Kind = "draining"
-	CutOff         Kind = "cut-off"     // the instance can't know whether its configuration is in force
-	Quarantined    Kind = "quarantined" // targets crashed under requests like this one
-	CallerGone     Kind = "caller-gone"
-	Internal       Kind = "internal"
+	BadRequest        Kind = "bad-request"
+	Unauthorized      Kind = "unauthorized"
+	Forbidden         Kind = "forbidden"
+	UnknownModel      Kind = "unknown-model"
+	UnknownService    Kind = "unknown-service"
+	NotFound          Kind = "not-found"
+	TooLarge          Kind = "too-large"
+	HeaderTooLarge    Kind = "header-too-large"
+	SlowSender        Kind = "slow-sender"
+	LimitExceeded     Kind = "limit-exceeded"
+	Overloaded        Kind = "overloaded"
+	NoTarget          Kind = "no-target"
+	TargetFailed      Kind = "target-failed"
+	TargetTimeout     Kind = "target-timeout"
+	BadAnswer         Kind = "bad-answer"
+	KeyReused         Kind = "idempotency-key-reused"
+	OutcomeUnknown    Kind = "outcome-unknown"
+	LedgerUnavailable Kind = "ledger-unavailable"
+	Draining          Kind = "draining"
+	CutOff            Kind = "cut-off"     // the instance can't know whether its configuration is in force
+	Quarantined       Kind = "quarantined" // targets crashed under requests like this one
+	CallerGone        Kind = "caller-gone"
+	Internal          Kind = "internal"
 )
 
-// details say what a failure at the targets was.
-var details = map[Kind]string{
+// detailByKind say what a failure at the targets was.
+var detailByKind = map[Kind]string{
 	NoTarget:      "no target can take the request now",
 	Overloaded:    "the targets refused the request",
 	TargetFailed:  "the target's connection broke before an answer",
@@ -66,9 +66,9 @@
 }
 
 // Detail is what a caller is told of a failure at the targets; "" for other kinds.
-func Detail(k Kind) string { return details[k] }
+func Detail(k Kind) string { return detailByKind[k] }
 
-var statuses = map[Kind]int{
+var statusByKind = map[Kind]int{
 	BadRequest: http.StatusBadRequest, Unauthorized: http.StatusUnauthorized,
 	Forbidden: http.StatusForbidden, UnknownModel: http.StatusNotFound,
 	UnknownService: http.StatusNotFound, NotFound: http.StatusNotFound,
@@ -78,7 +78,7 @@
 	NoTarget: http.StatusServiceUnavailable, TargetFailed: http.StatusBadGateway,
 	TargetTimeout: http.StatusGatewayTimeout, BadAnswer: http.StatusBadGateway,
 	KeyReused: http.StatusUnprocessableEntity, OutcomeUnknown: http.StatusConflict,
-	LedgerDown: http.StatusServiceUnavailable, Draining: http.StatusServiceUnavailable, CutOff: http.StatusServiceUnavailable,
+	LedgerUnavailable: http.StatusServiceUnavailable, Draining: http.StatusServiceUnavailable, CutOff: http.StatusServiceUnavailable,
 	Quarantined: http.StatusServiceUnavailable,
 	CallerGone:  499, Internal: http.StatusInternalServerError,
 }
@@ -104,7 +104,7 @@
 
 // Status is the HTTP status of the kind.
 func (p *Problem) Status() int {
-	if s, ok := statuses[p.Kind]; ok {
+	if s, ok := statusByKind[p.Kind]; ok {
 		return s
 	}
 	return http.StatusInternalServerError
--- a/internal/standin/cli/ask.go
+++ b/internal/standin/cli/ask.go
@@ -42,7 +42,7 @@
 			return err
 		}
 		fmt.Fprintf(cmd.OutOrStdout(), "request %s\nprompt_tokens %d cached %d restored %d\ntext%s\n", a.ID, a.Usage.PromptTokens,
-			a.Usage.Details.CachedTokens, a.Usage.Details.RestoredTokens, a.Text)
+			a.Usage.PromptDetails.CachedTokens, a.Usage.PromptDetails.RestoredTokens, a.Text)
 		return nil
 	}
 	return cmd
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -235,7 +235,7 @@
 func (s *Server) observe() target.Status {
 	out := target.Status{Name: s.o.Name, Model: s.o.Model, Version: s.version, Adapters: slices.Clone(s.adapters), Role: s.role,
 		Leaving: s.leaving, Loading: s.loading, Running: s.running, Waiting: s.waiting, QueuedTokens: s.queued,
-		Fence: s.fence, EventSeq: s.cache.seq}
+		FencingToken: s.fence, EventSeq: s.cache.seq}
 	if s.loading {
 		out.Version = ""
 	}
@@ -262,7 +262,7 @@
 	}
 	s.mu.Lock()
 	s.counters.Orders++
-	if o.Fence < s.fence {
+	if o.FencingToken < s.fence {
 		s.counters.StaleOrders++
 		if s.o.Fenced {
 			have := s.fence
@@ -271,7 +271,7 @@
 			return
 		}
 	}
-	s.fence = max(s.fence, o.Fence)
+	s.fence = max(s.fence, o.FencingToken)
 	s.mu.Unlock()
 	if !s.obey(r.Context(), o) {
 		http.Error(w, "load failed", http.StatusUnprocessableEntity)
--- a/internal/standin/engine/kv.go
+++ b/internal/standin/engine/kv.go
@@ -65,7 +65,7 @@
 		return
 	}
 	kept = sent
-	writeJSON(w, http.StatusOK, target.ExportResult{Kept: len(m.Pieces), Bytes: sent})
+	writeJSON(w, http.StatusOK, target.ExportResult{SavedKeys: len(m.Pieces), Bytes: sent})
 }
 
 // alreadyKept asks the store how many leading pieces it has, so that a head
@@ -123,7 +123,7 @@
 // It returns how many blocks it brought in.
 func (s *Server) restore(ctx context.Context, j *job, have int) int {
 	store, im := s.findManifest(ctx, j)
-	if im.Covered <= have {
+	if im.CoveredKeys <= have {
 		return 0
 	}
 	base := "http://" + store + "/v1/"
@@ -136,7 +136,7 @@
 		return 0
 	}
 	n := 0
-	for i := have; i < im.Covered && i < len(m.Pieces) && i < len(j.ext.Keys) && i < len(j.digests); i++ {
+	for i := have; i < im.CoveredKeys && i < len(m.Pieces) && i < len(j.ext.Keys) && i < len(j.digests); i++ {
 		if m.Pieces[i].Key != j.ext.Keys[i] || !s.importPiece(ctx, j, i, base, m.Pieces[i]) {
 			break
 		}
@@ -155,10 +155,10 @@
 	var from string
 	for _, store := range im.Stores {
 		found, err := kvstore.NewClientWithHTTP(s.http).Lookup(ctx, store, j.ext.Keys)
-		if err == nil && found.Covered > best.Covered {
-			best, from = target.Import{Manifest: found.Manifest, Covered: found.Covered}, store
+		if err == nil && found.Covered > best.CoveredKeys {
+			best, from = target.Import{Manifest: found.Manifest, CoveredKeys: found.Covered}, store
 		}
-		if best.Covered == len(j.ext.Keys) {
+		if best.CoveredKeys == len(j.ext.Keys) {
 			break
 		}
 	}
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -123,7 +123,7 @@
 	defer s.mu.Unlock()
 	refuse := func(reason string) bool {
 		s.counters.Refused++
-		w.Header().Set(target.HeaderExecution, target.RefusedNotRun)
+		w.Header().Set(target.HeaderExecution, target.ExecutionNotRun)
 		fail(w, http.StatusServiceUnavailable, reason)
 		return false
 	}
@@ -215,7 +215,7 @@
 		s.counters.ComputedTokens += int64(missing)
 		s.counters.RestoredTokens += int64(restored * prefix.ChunkBytes / prefix.BytesPerToken)
 	})
-	j.usage = target.Usage{PromptTokens: tokens, Details: target.PromptDetails{CachedTokens: cached,
+	j.usage = target.Usage{PromptTokens: tokens, PromptDetails: target.PromptDetails{CachedTokens: cached,
 		RestoredTokens: restored * prefix.ChunkBytes / prefix.BytesPerToken}}
 	return true
 }
--- a/internal/standin/fleet/demo.go
+++ b/internal/standin/fleet/demo.go
@@ -115,7 +115,7 @@
 	if err != nil {
 		return &DemoError{Step: "first answer", Cause: err}
 	}
-	fmt.Fprintf(w, "first answer: %d prompt tokens, %d from cache, %d tokens generated\n", first.Usage.PromptTokens, first.Usage.Details.CachedTokens, first.Usage.CompletionTokens)
+	fmt.Fprintf(w, "first answer: %d prompt tokens, %d from cache, %d tokens generated\n", first.Usage.PromptTokens, first.Usage.PromptDetails.CachedTokens, first.Usage.CompletionTokens)
 	if err := f.waitKept(ctx); err != nil {
 		return &DemoError{Step: "keeping the cache", Cause: err}
 	}
@@ -132,17 +132,17 @@
 	}
 	computed := f.computed() - before
 	u := again.Usage
-	fmt.Fprintf(w, "return:       %d prompt tokens, %d from cache (%d restored from a store), %d computed again\n", u.PromptTokens, u.Details.CachedTokens, u.Details.RestoredTokens, computed)
-	saved := 100 * float64(u.Details.CachedTokens) / float64(max(u.PromptTokens, 1))
+	fmt.Fprintf(w, "return:       %d prompt tokens, %d from cache (%d restored from a store), %d computed again\n", u.PromptTokens, u.PromptDetails.CachedTokens, u.PromptDetails.RestoredTokens, computed)
+	saved := 100 * float64(u.PromptDetails.CachedTokens) / float64(max(u.PromptTokens, 1))
 	fmt.Fprintf(w, "prompt work saved on the return: %.1f%%\n", saved)
 	fmt.Fprintf(w, "why: shedhoist explain %s\n", again.ID)
 	switch {
 	case again.Text != first.Text:
 		return &DemoError{Step: "compare answers", Cause: &CheckError{Got: again.Text, Want: first.Text}}
-	case u.Details.RestoredTokens == 0:
+	case u.PromptDetails.RestoredTokens == 0:
 		return &DemoError{Step: "restore", Cause: &CheckError{Got: "nothing restored", Want: "cache restored from a store"}}
-	case computed+int64(u.Details.CachedTokens) != int64(u.PromptTokens):
-		return &DemoError{Step: "account", Cause: &CheckError{Got: fmt.Sprint(computed), Want: fmt.Sprint(u.PromptTokens - u.Details.CachedTokens)}}
+	case computed+int64(u.PromptDetails.CachedTokens) != int64(u.PromptTokens):
+		return &DemoError{Step: "account", Cause: &CheckError{Got: fmt.Sprint(computed), Want: fmt.Sprint(u.PromptTokens - u.PromptDetails.CachedTokens)}}
 	}
 	return nil
 }
--- a/internal/target/engine.go
+++ b/internal/target/engine.go
@@ -20,32 +20,32 @@
 
 // Bounds of one exchange with an engine.
 const (
-	maxEvent   = 1 << 20 // bytes of one event of a stream
-	maxReport  = 4 << 20 // bytes of a status, event page or order answer
-	maxRefusal = 64 << 10
+	maxEventBytes           = 1 << 20 // bytes of one event of a stream
+	maxControlResponseBytes = 4 << 20 // bytes of a status, event page or order answer
+	maxErrorBodyBytes       = 64 << 10
 )
 
 // Client talks to engines and services.
 type Client struct {
-	reuse *http.Client // connections are kept: only for targets that echo ids
-	fresh *http.Client // one connection for each request
+	keepAliveClient *http.Client // connections are kept: only for targets that echo ids
+	singleUseClient *http.Client // one connection for each request
 }
 
 // NewClient returns a client whose connects are bounded by connect.
-func NewClient(connect time.Duration) *Client {
-	dialer := &net.Dialer{Timeout: connect}
-	kept := &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 256, IdleConnTimeout: 30 * time.Second,
+func NewClient(connectTimeout time.Duration) *Client {
+	dialer := &net.Dialer{Timeout: connectTimeout}
+	keepAlive := &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 256, IdleConnTimeout: 30 * time.Second,
 		DisableCompression: true, MaxResponseHeaderBytes: 64 << 10}
-	fresh := kept.Clone()
-	fresh.DisableKeepAlives = true
-	return &Client{reuse: &http.Client{Transport: kept, CheckRedirect: netx.NoRedirect},
-		fresh: &http.Client{Transport: fresh, CheckRedirect: netx.NoRedirect}}
+	singleUse := keepAlive.Clone()
+	singleUse.DisableKeepAlives = true
+	return &Client{keepAliveClient: &http.Client{Transport: keepAlive, CheckRedirect: netx.NoRedirect},
+		singleUseClient: &http.Client{Transport: singleUse, CheckRedirect: netx.NoRedirect}}
 }
 
 // Close drops idle connections.
 func (c *Client) Close() {
-	c.reuse.CloseIdleConnections()
-	c.fresh.CloseIdleConnections()
+	c.keepAliveClient.CloseIdleConnections()
+	c.singleUseClient.CloseIdleConnections()
 }
 
 // Body is a request's body in parts, so that a long prompt is not copied once
@@ -60,7 +60,7 @@
 	return int64(n)
 }
 
-func (b Body) reader() io.Reader { return netx.OnceBody(&partsReader{parts: b}) }
+func (b Body) reader() io.Reader { return netx.SingleUseBody(&partsReader{parts: b}) }
 
 // partsReader reads parts in turn and lets go of each one when it is read.
 type partsReader struct{ parts []string }
@@ -69,9 +69,9 @@
 func (r *partsReader) Read(p []byte) (int, error) {
 	n := 0
 	for n < len(p) && len(r.parts) > 0 {
-		m := copy(p[n:], r.parts[0])
-		n += m
-		if r.parts[0] = r.parts[0][m:]; r.parts[0] == "" {
+		copied := copy(p[n:], r.parts[0])
+		n += copied
+		if r.parts[0] = r.parts[0][copied:]; r.parts[0] == "" {
 			r.parts = r.parts[1:]
 		}
 	}
@@ -94,10 +94,10 @@
 
 // Chunk is one event of a run's stream.
 type Chunk struct {
-	Data   string // JSON as the engine sent it
-	Text   string // text added by this event
-	Finish string // finish reason, "" before the end
-	Usage  *Usage // on the usage event alone
+	Data         string // JSON as the engine sent it
+	Text         string // text added by this event
+	FinishReason string // finish reason, "" before the end
+	Usage        *Usage // on the usage event alone
 }
 
 // Stream is a run under way.
@@ -123,40 +123,40 @@
 	req.Header.Set("Accept", "text/event-stream")
 	req.Header.Set(HeaderRequestID, r.ID)
 	req.Header.Set(HeaderDeadline, strconv.FormatInt(r.Deadline.Sub(r.Now).Milliseconds(), 10))
-	resp, way, err := netx.Send(c.reuse, req)
+	resp, sent, err := netx.Send(c.keepAliveClient, req)
 	if err != nil {
 		cancel()
-		if !way.Sent {
+		if !sent.MaybeSent {
 			return nil, &NotSentError{Target: r.Target, Cause: err}
 		}
-		return nil, &BrokenError{Target: r.Target, Reason: "no answer", Cause: err}
+		return nil, &IncompleteError{Target: r.Target, Reason: "no answer", Cause: err}
 	}
-	if err := accept(r, resp); err != nil {
+	if err := checkResponse(r, resp); err != nil {
 		cancel()
 		resp.Body.Close()
 		return nil, err
 	}
-	next, stop := iter.Pull2(sse.Read(resp.Body, &sse.ReadConfig{MaxEventSize: maxEvent}))
+	next, stop := iter.Pull2(sse.Read(resp.Body, &sse.ReadConfig{MaxEventSize: maxEventBytes}))
 	return &Stream{target: r.Target, resp: resp, next: next, stop: stop, cancel: cancel}, nil
 }
 
-// accept checks that the answer is this run's and that it is a stream.
-func accept(r Run, resp *http.Response) error {
+// checkResponse checks that the answer is this run's and that it is a stream.
+func checkResponse(r Run, resp *http.Response) error {
 	if got := resp.Header.Get(HeaderRequestID); got != r.ID {
-		return &MismatchError{Target: r.Target, Want: r.ID, Got: got}
+		return &MismatchError{Target: r.Target, WantID: r.ID, GotID: got}
 	}
 	if resp.StatusCode == http.StatusOK {
 		return nil
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxRefusal))
-	if resp.Header.Get(HeaderExecution) == RefusedNotRun {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxErrorBodyBytes))
+	if resp.Header.Get(HeaderExecution) == ExecutionNotRun {
 		return &RefusedError{Target: r.Target, Status: resp.StatusCode, Reason: gjson.GetBytes(body, "error.message").String(),
 			RetryAfter: retryAfter(resp)}
 	}
 	if err == nil && resp.StatusCode >= 400 && resp.StatusCode < 500 {
 		return &RejectedError{Target: r.Target, Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}
 	}
-	return &BrokenError{Target: r.Target, Reason: "status " + strconv.Itoa(resp.StatusCode), Cause: err}
+	return &IncompleteError{Target: r.Target, Reason: "status " + strconv.Itoa(resp.StatusCode), Cause: err}
 }
 
 // retryAfter reads a Retry-After in whole seconds (RFC 9110, section 10.2.3); 0 is none.
@@ -172,14 +172,14 @@
 const terminator = "[DONE]"
 
 // Next returns the next event. io.EOF comes only behind the terminator; a
-// stream that ends without it gives a *BrokenError.
+// stream that ends without it gives a *IncompleteError.
 func (s *Stream) Next() (Chunk, error) {
 	if s.done {
 		return Chunk{}, io.EOF
 	}
 	ev, err, ok := s.next()
 	if !ok || err != nil {
-		return Chunk{}, &BrokenError{Target: s.target, Began: true, Reason: "stream ended without its terminator", Cause: err}
+		return Chunk{}, &IncompleteError{Target: s.target, ResponseStarted: true, Reason: "stream ended without its terminator", Cause: err}
 	}
 	if ev.Data == terminator {
 		s.done = true
@@ -200,14 +200,14 @@
 
 // parseChunk reads one event in one pass over its members.
 func parseChunk(target, data string) (Chunk, error) {
-	broken := func(reason string) (Chunk, error) {
-		return Chunk{}, &BrokenError{Target: target, Began: true, Reason: reason}
+	fail := func(reason string) (Chunk, error) {
+		return Chunk{}, &IncompleteError{Target: target, ResponseStarted: true, Reason: reason}
 	}
 	if !gjson.Valid(data) {
-		return broken("event is not JSON")
+		return fail("event is not JSON")
 	}
 	c := Chunk{Data: data}
-	var choice, usage, failure gjson.Result
+	var choice, usage, errorMember gjson.Result
 	gjson.Parse(data).ForEach(func(k, v gjson.Result) bool {
 		switch k.Str {
 		case "choices":
@@ -215,12 +215,12 @@
 		case "usage":
 			usage = v
 		case "error":
-			failure = v
+			errorMember = v
 		}
 		return true
 	})
-	if failure.Exists() {
-		return broken("the engine reported an error")
+	if errorMember.Exists() {
+		return fail("the engine reported an error")
 	}
 	choice.ForEach(func(k, v gjson.Result) bool {
 		switch k.Str {
@@ -229,14 +229,14 @@
 		case "delta":
 			c.Text += v.Get("content").String()
 		case "finish_reason":
-			c.Finish = v.String()
+			c.FinishReason = v.String()
 		}
 		return true
 	})
 	if usage.IsObject() {
 		c.Usage = &Usage{}
 		if err := json.Unmarshal([]byte(usage.Raw), c.Usage); err != nil {
-			return broken("usage is not as documented")
+			return fail("usage is not as documented")
 		}
 	}
 	return c, nil
@@ -278,7 +278,7 @@
 	fail := func(status int, err error) error {
 		return &CallError{Target: address, Path: path, Status: status, Cause: err}
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, netx.OnceBody(bytes.NewReader(body)))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, netx.SingleUseBody(bytes.NewReader(body)))
 	if err != nil {
 		return fail(0, err)
 	}
@@ -286,17 +286,17 @@
 	if body == nil {
 		req.Body = nil
 	}
-	resp, err := c.reuse.Do(req)
+	resp, err := c.keepAliveClient.Do(req)
 	if err != nil {
 		return fail(0, err)
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxReport))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxControlResponseBytes))
 	if err != nil {
 		return fail(resp.StatusCode, err)
 	}
 	if resp.StatusCode == http.StatusPreconditionFailed {
-		return &StaleOrderError{Target: address, Have: gjson.GetBytes(data, "fence").Uint()}
+		return &StaleOrderError{Target: address, HighestToken: gjson.GetBytes(data, "fence").Uint()}
 	}
 	if resp.StatusCode != http.StatusOK {
 		return fail(resp.StatusCode, nil)
--- a/internal/target/errors.go
+++ b/internal/target/errors.go
@@ -31,17 +31,17 @@
 	return fmt.Sprintf("target %s: refused with status %d: %s", e.Target, e.Status, e.Reason)
 }
 
-// BrokenError says that the exchange ended before a whole answer. Began is
+// IncompleteError says that the exchange ended before a whole answer. Began is
 // true when the answer had begun.
-type BrokenError struct {
-	Target string
-	Began  bool
-	Reason string
-	Cause  error
+type IncompleteError struct {
+	Target          string
+	ResponseStarted bool
+	Reason          string
+	Cause           error
 }
 
 // Error implements error.
-func (e *BrokenError) Error() string {
+func (e *IncompleteError) Error() string {
 	msg := "target " + e.Target + ": broken: " + e.Reason
 	if e.Cause != nil {
 		msg += ": " + e.Cause.Error()
@@ -50,15 +50,15 @@
 }
 
 // Unwrap returns the cause.
-func (e *BrokenError) Unwrap() error { return e.Cause }
+func (e *IncompleteError) Unwrap() error { return e.Cause }
 
 // MismatchError says that the answer carried another request's id. Its
 // connection has been closed.
-type MismatchError struct{ Target, Want, Got string }
+type MismatchError struct{ Target, WantID, GotID string }
 
 // Error implements error.
 func (e *MismatchError) Error() string {
-	return fmt.Sprintf("target %s: answer belongs to request %q, not %q", e.Target, e.Got, e.Want)
+	return fmt.Sprintf("target %s: answer belongs to request %q, not %q", e.Target, e.GotID, e.WantID)
 }
 
 // RejectedError is an answer of the target that is a failure of the request
@@ -77,13 +77,13 @@
 
 // StaleOrderError says that the target has seen a higher fencing token.
 type StaleOrderError struct {
-	Target string
-	Have   uint64
+	Target       string
+	HighestToken uint64
 }
 
 // Error implements error.
 func (e *StaleOrderError) Error() string {
-	return fmt.Sprintf("target %s: order refused, fencing token %d seen", e.Target, e.Have)
+	return fmt.Sprintf("target %s: order refused, fencing token %d seen", e.Target, e.HighestToken)
 }
 
 // CallError says that a status, order or export call failed.
--- a/internal/target/fuzz_test.go
+++ b/internal/target/fuzz_test.go
@@ -10,7 +10,7 @@
 	f.Add(`{"error":{"message":"x"}}`)
 	f.Fuzz(func(t *testing.T, data string) {
 		_, err := parseChunk("t", data)
-		if _, ok := err.(*BrokenError); err != nil && !ok {
+		if _, ok := err.(*IncompleteError); err != nil && !ok {
 			t.Fatalf("%T", err)
 		}
 	})
--- a/internal/target/wire.go
+++ b/internal/target/wire.go
@@ -11,8 +11,8 @@
 	HeaderDeadline  = "X-Deadline-Ms" // time left for the request
 )
 
-// RefusedNotRun is the value of HeaderExecution on a documented refusal.
-const RefusedNotRun = "not-run"
+// ExecutionNotRun is the value of HeaderExecution on a documented refusal.
+const ExecutionNotRun = "not-run"
 
 // Extension is the member "shedhoist" of a run request: what an engine must
 // know beyond the OpenAI request.
@@ -30,9 +30,9 @@
 // Without a manifest the engine, if it lacks any of the keys, looks for one in
 // the stores, in their order.
 type Import struct {
-	Stores   []string `json:"stores"` // host:port; one, if a manifest is named
-	Manifest string   `json:"manifest,omitempty"`
-	Covered  int      `json:"covered,omitempty"` // leading keys worth fetching
+	Stores      []string `json:"stores"` // host:port; one, if a manifest is named
+	Manifest    string   `json:"manifest,omitempty"`
+	CoveredKeys int      `json:"covered,omitempty"` // leading keys worth fetching
 }
 
 // Usage is the count of tokens of a run.
@@ -40,7 +40,7 @@
 	PromptTokens     int           `json:"prompt_tokens"`
 	CompletionTokens int           `json:"completion_tokens"`
 	TotalTokens      int           `json:"total_tokens"`
-	Details          PromptDetails `json:"prompt_tokens_details"`
+	PromptDetails    PromptDetails `json:"prompt_tokens_details"`
 }
 
 // PromptDetails says how much of the prompt was not computed.
@@ -62,7 +62,7 @@
 	Waiting      int      `json:"waiting"`
 	QueuedTokens int      `json:"queued_tokens"`
 	AgeMS        float64  `json:"age_ms"`
-	Fence        uint64   `json:"fence"` // highest fencing token seen
+	FencingToken uint64   `json:"fence"` // highest fencing token seen
 	EventSeq     uint64   `json:"event_seq"`
 }
 
@@ -94,11 +94,11 @@
 
 // Order is one order to an engine.
 type Order struct {
-	Kind    OrderKind `json:"kind"`
-	Version string    `json:"weight_version,omitempty"`
-	Adapter string    `json:"adapter,omitempty"`
-	Role    string    `json:"role,omitempty"`
-	Fence   uint64    `json:"fence"` // fencing token of the lease it is given under
+	Kind         OrderKind `json:"kind"`
+	Version      string    `json:"weight_version,omitempty"`
+	Adapter      string    `json:"adapter,omitempty"`
+	Role         string    `json:"role,omitempty"`
+	FencingToken uint64    `json:"fence"` // fencing token of the lease it is given under
 }
 
 // Export asks an engine to write the cache of a chain to a store: pieces
@@ -113,8 +113,8 @@
 
 // ExportResult says how much of the chain is now kept.
 type ExportResult struct {
-	Kept  int   `json:"kept"`  // leading keys below the manifest
-	Bytes int64 `json:"bytes"` // written to the store
+	SavedKeys int   `json:"kept"`  // leading keys below the manifest
+	Bytes     int64 `json:"bytes"` // written to the store
 }
 
 // encode marshals a value of this package; its types always marshal.
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -25,11 +25,11 @@
 	services map[string]bool
 }
 
-// MayUse says whether the customer may call a model.
-func (c *Customer) MayUse(model string) bool { return c.models[model] }
+// MayUseModel says whether the customer may call a model.
+func (c *Customer) MayUseModel(model string) bool { return c.models[model] }
 
-// MayCall says whether the customer may call a service.
-func (c *Customer) MayCall(service string) bool { return c.services[service] }
+// MayCallService says whether the customer may call a service.
+func (c *Customer) MayCallService(service string) bool { return c.services[service] }
 
 // Config is one generation, indexed.
 type Config struct {
@@ -56,13 +56,13 @@
 	for _, name := range h.Drained {
 		c.Drained[name] = true
 	}
-	for _, cc := range b.Customers {
-		cust, err := newCustomer(cc)
+	for _, cfg := range b.Customers {
+		customer, err := newCustomer(cfg)
 		if err != nil {
 			return nil, err
 		}
-		for _, hash := range cc.KeyHashes {
-			c.customers[strings.ToLower(hash)] = cust
+		for _, hash := range cfg.KeyHashes {
+			c.customers[strings.ToLower(hash)] = customer
 		}
 	}
 	for _, o := range b.Operators {
@@ -87,21 +87,21 @@
 	return &out
 }
 
-func newCustomer(cc config.Customer) (*Customer, error) {
-	secret, err := hex.DecodeString(cc.Secret)
+func newCustomer(cfg config.Customer) (*Customer, error) {
+	secret, err := hex.DecodeString(cfg.Secret)
 	if err != nil {
 		return nil, &config.EncodeError{Cause: err}
 	}
-	l := cc.Limits
-	out := &Customer{Customer: cc, Secret: secret, models: map[string]bool{}, services: map[string]bool{},
-		Rates: limit.Rates{Requests: l.Requests, PromptTokens: l.PromptTokens, GeneratedTokens: l.GeneratedTokens, Concurrency: l.Concurrency}}
-	for _, m := range cc.Models {
-		out.models[m] = true
+	limits := cfg.Limits
+	customer := &Customer{Customer: cfg, Secret: secret, models: map[string]bool{}, services: map[string]bool{},
+		Rates: limit.Rates{Requests: limits.Requests, PromptTokens: limits.PromptTokens, GeneratedTokens: limits.GeneratedTokens, Concurrency: limits.Concurrency}}
+	for _, m := range cfg.Models {
+		customer.models[m] = true
 	}
-	for _, s := range cc.Services {
-		out.services[s] = true
+	for _, s := range cfg.Services {
+		customer.services[s] = true
 	}
-	return out, nil
+	return customer, nil
 }
 
 // KeyHash is the form in which keys are configured.
@@ -117,8 +117,8 @@
 // Operator returns the name of the operator that a bearer key belongs to.
 func (c *Config) Operator(key string) (string, bool) {
 	hash := KeyHash(key)
-	for have, name := range c.operators {
-		if subtle.ConstantTimeCompare([]byte(have), []byte(hash)) == 1 {
+	for configured, name := range c.operators {
+		if subtle.ConstantTimeCompare([]byte(configured), []byte(hash)) == 1 {
 			return name, true
 		}
 	}
@@ -129,24 +129,24 @@
 // generation is in force here.
 type View struct {
 	*Config
-	Targets   *route.Snapshot
-	Draining  bool // this instance takes no new work
-	Settled   bool // every target was asked once since the start
-	Instances int  // live ones, this one included: limits are shared among them
+	Targets       *route.Snapshot
+	Draining      bool // this instance takes no new work
+	TargetsProbed bool // every target was asked once since the start
+	Instances     int  // live ones, this one included: limits are shared among them
 
 	Observers []observe.Observer // live instances, this one included
 }
 
 // Holder publishes views.
-type Holder struct{ p atomic.Pointer[View] }
+type Holder struct{ current atomic.Pointer[View] }
 
 // Load returns the latest view; never nil.
 func (h *Holder) Load() *View {
-	if v := h.p.Load(); v != nil {
+	if v := h.current.Load(); v != nil {
 		return v
 	}
 	return &View{Targets: route.NewSnapshot(nil, nil)}
 }
 
 // Store publishes a view.
-func (h *Holder) Store(v *View) { h.p.Store(v) }
+func (h *Holder) Store(v *View) { h.current.Store(v) }
