--- a/internal/netx/netx.go
+++ b/internal/netx/netx.go
@@ -1,6 +1,6 @@
-// Package netx holds what all edges share of connections: dialers and listeners
-// that notice a peer which went silent, transports, and bodies that net/http
-// can't send a second time by itself.
+// Package netx holds connection code that all network clients and servers share:
+// dialers and listeners that detect unresponsive peers, HTTP transports, and request
+// bodies that net/http can't replay.
 package netx
 
 import (
@@ -16,14 +16,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// Bounds on a connection whose other end went silent. A machine that lost power
-// answers nothing, and without them a write to it hangs for minutes.
+// Limits that detect an unresponsive peer. A machine that lost power sends nothing, and
+// without these limits a write to it blocks for minutes.
 const (
-	// unackedTimeout ends a connection whose sent bytes stay unacknowledged: well
+	// unackedTimeout closes a connection whose sent bytes stay unacknowledged. It is well
 	// above a round trip (milliseconds) and one retransmission.
 	unackedTimeout = 1500 * time.Millisecond
-	// keepAliveIdle, keepAliveInterval and keepAliveCount find a dead end that nothing
-	// is being sent to, within 3 s.
+	// keepAliveIdle, keepAliveInterval and keepAliveCount detect an unresponsive peer on an
+	// idle connection within 3 s.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = 500 * time.Millisecond
 	keepAliveCount    = 4
@@ -31,59 +31,61 @@
 
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}
 
-// setUserTimeout sets the bound on unacknowledged bytes. It is best effort: a
-// kernel without the option still has the keep-alive probes.
+// setUserTimeout limits how long sent bytes may stay unacknowledged. Errors are ignored:
+// a kernel without the option still has the keep-alive probes.
 func setUserTimeout(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 	})
 }
 
-// Dialer returns a dialer whose connects are bounded by timeout.
+// Dialer returns a dialer that limits connection setup to timeout and detects
+// unresponsive peers.
 func Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{Timeout: timeout, KeepAliveConfig: keepAlive, Control: setUserTimeout}
 }
 
-// Listen opens a TCP listener whose connections are watched for silence.
+// Listen opens a TCP listener whose connections detect unresponsive peers.
 func Listen(address string) (net.Listener, error) {
 	lc := net.ListenConfig{KeepAliveConfig: keepAlive, Control: setUserTimeout}
 	return lc.Listen(context.Background(), "tcp", address)
 }
 
-// TransportOptions are the dials of a transport.
+// TransportOptions configures a transport.
 type TransportOptions struct {
-	ConnectTimeout time.Duration // bound on a connect
-	MaxIdlePerHost int           // connections kept for each host; 0: none, each request gets its own
-	IdleTimeout    time.Duration // how long a connection is kept unused; 0: until the other end closes it
+	ConnectTimeout time.Duration // limit on connection setup
+	MaxIdlePerHost int           // idle connections kept per host; 0: none, each request opens its own
+	IdleTimeout    time.Duration // how long an idle connection is kept; 0: until the other side closes it
 }
 
-// maxResponseHeaderBytes bounds the header of an answer, in bytes.
+// maxResponseHeaderBytes is the maximum size of a response header.
 const maxResponseHeaderBytes = 64 << 10
 
-// Transport returns a transport that neither compresses, nor follows proxies of
-// the environment.
+// Transport returns a transport that does not request compression and ignores the proxy
+// settings of the environment.
 func Transport(o TransportOptions) *http.Transport {
 	return &http.Transport{DialContext: Dialer(o.ConnectTimeout).DialContext, DisableCompression: true, DisableKeepAlives: o.MaxIdlePerHost == 0,
 		MaxIdleConnsPerHost: o.MaxIdlePerHost, IdleConnTimeout: o.IdleTimeout, MaxResponseHeaderBytes: maxResponseHeaderBytes}
 }
 
-// singleUseReader hides the type of a reader, so that net/http finds no way to rewind it
-// and can't replay the request by itself.
+// singleUseReader hides the concrete type of a reader, so that net/http can't rewind it
+// and replay the request.
 type singleUseReader struct{ r io.Reader }
 
 // Read implements io.Reader.
 func (b singleUseReader) Read(p []byte) (int, error) { return b.r.Read(p) }
 
-// SingleUseBody returns a body that can be sent once only.
+// SingleUseBody returns a request body that can be sent only once.
 func SingleUseBody(r io.Reader) io.ReadCloser { return io.NopCloser(singleUseReader{r}) }
 
-// SendInfo is how a request went out.
+// SendInfo says how a request was sent.
 type SendInfo struct {
-	MaybeSent bool // any byte of it may have reached a connection
-	Reused    bool // that had served others before
+	MaybeSent bool // a connection was obtained, so bytes may have been written to it
+	Reused    bool // the connection had carried earlier requests
 }
 
-// Send issues a request. The transport reports a connection as got before it writes to it.
+// Send sends a request. The transport reports the connection before it writes to it, so
+// SendInfo.MaybeSent is false only if no byte of the request was written.
 func Send(hc *http.Client, req *http.Request) (resp *http.Response, info SendInfo, err error) {
 	var gotConn, reused atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(connInfo httptrace.GotConnInfo) {
@@ -94,6 +96,6 @@
 	return resp, SendInfo{MaybeSent: gotConn.Load(), Reused: reused.Load()}, err
 }
 
-// NoRedirect hands a redirect to the caller of a client: to follow it would send
-// the request a second time.
+// NoRedirect is a CheckRedirect function that returns redirects to the caller: following
+// one would send the request a second time.
 func NoRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
