--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -1,6 +1,6 @@
-// Package view is the immutable picture of the fleet that request goroutines
-// read: the configuration in force, indexed, and the targets' state. The
-// control goroutine builds one and publishes it; nobody changes it after.
+// Package view holds the immutable snapshot of the fleet that request goroutines read:
+// the configuration in force, indexed, and the state of the targets. The control
+// goroutine builds and publishes each snapshot; it is not modified afterwards.
 package view
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/shedhoist/shedhoist/internal/core/route"
 )
 
-// Customer is a customer, ready for use.
+// Customer holds a configured customer with indexes of its permissions.
 type Customer struct {
 	config.Customer
 	Rates    limit.Rates
@@ -25,13 +25,13 @@
 	services map[string]bool
 }
 
-// MayUseModel says whether the customer may call a model.
+// MayUseModel reports whether the customer may call a model.
 func (c *Customer) MayUseModel(model string) bool { return c.models[model] }
 
-// MayCallService says whether the customer may call a service.
+// MayCallService reports whether the customer may call a service.
 func (c *Customer) MayCallService(service string) bool { return c.services[service] }
 
-// Config is one generation, indexed.
+// Config is one configuration generation with its indexes.
 type Config struct {
 	Head      config.Head
 	Bundle    *config.Bundle
@@ -39,11 +39,11 @@
 	Models    map[string]*config.Model
 	Services  map[string]*config.Service
 	Drained   map[string]bool
-	customers map[string]*Customer // by SHA-256 of a key, in hexadecimal
-	operators map[string]string    // name by SHA-256 of a key
+	customers map[string]*Customer // by KeyHash of a key
+	operators map[string]string    // name by KeyHash of a key
 }
 
-// NewConfig indexes a generation.
+// NewConfig builds the indexes of a generation.
 func NewConfig(h config.Head, b *config.Bundle) (*Config, error) {
 	c := &Config{Head: h, Bundle: b, Policy: b.PolicyOrDefault(), Models: map[string]*config.Model{},
 		Services: map[string]*config.Service{}, Drained: map[string]bool{}, customers: map[string]*Customer{}, operators: map[string]string{}}
@@ -73,6 +73,7 @@
 	return c, nil
 }
 
+// withDefaults returns a copy of a model with default values for unset fields.
 func withDefaults(m *config.Model) *config.Model {
 	out := *m
 	if out.PrefillUS == 0 {
@@ -104,17 +105,18 @@
 	return customer, nil
 }
 
-// KeyHash is the form in which keys are configured.
+// KeyHash returns the SHA-256 of a key in hexadecimal, the form in which keys are
+// configured.
 func KeyHash(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Authenticate returns the customer that a bearer key belongs to, or nil. The
-// lookup is by hash, so its time tells nothing about any configured key.
+// Authenticate returns the customer that owns a bearer key, or nil. The lookup is by
+// hash, so its timing reveals nothing about the configured keys.
 func (c *Config) Authenticate(key string) *Customer { return c.customers[KeyHash(key)] }
 
-// Operator returns the name of the operator that a bearer key belongs to.
+// Operator returns the name of the operator that owns a bearer key.
 func (c *Config) Operator(key string) (string, bool) {
 	hash := KeyHash(key)
 	for configured, name := range c.operators {
@@ -125,22 +127,22 @@
 	return "", false
 }
 
-// View is what a request goroutine reads. Config is nil until the first
-// generation is in force here.
+// View is the snapshot that request goroutines read. Config is nil until this instance
+// has a generation in force.
 type View struct {
 	*Config
 	Targets       *route.Snapshot
-	Draining      bool // this instance takes no new work
-	TargetsProbed bool // every target was asked once since the start
-	Instances     int  // live ones, this one included: limits are shared among them
+	Draining      bool // this instance accepts no new requests
+	TargetsProbed bool // every target was probed once since the start
+	Instances     int  // live instances, this one included, which share the limits
 
 	Observers []observe.Observer // live instances, this one included
 }
 
-// Holder publishes views.
+// Holder publishes the latest view to concurrent readers.
 type Holder struct{ current atomic.Pointer[View] }
 
-// Load returns the latest view; never nil.
+// Load returns the latest view; it never returns nil.
 func (h *Holder) Load() *View {
 	if v := h.current.Load(); v != nil {
 		return v
