--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -1,4 +1,4 @@
-// Package body reads callers' bodies within their bounds.
+// Package body reads request bodies of limited size.
 package body
 
 import (
@@ -10,8 +10,8 @@
 	"github.com/shedhoist/shedhoist/internal/problem"
 )
 
-// Read reads to the end, into one buffer of the announced size if that is known
-// (not negative): a long prompt is not copied as a buffer grows.
+// Read reads to the end of r. If size is not negative, it reads exactly size bytes into
+// one buffer, which saves copying a long prompt as a buffer grows.
 func Read(r io.Reader, size int64) ([]byte, error) {
 	if size < 0 {
 		return io.ReadAll(r)
@@ -21,7 +21,7 @@
 	return data, err
 }
 
-// Problem names the failure to read a caller's body.
+// Problem maps an error from reading a request body to a problem.
 func Problem(err error) *problem.Problem {
 	var tooLarge *http.MaxBytesError
 	var timeout net.Error
