--- a/internal/problem/problem.go
+++ b/internal/problem/problem.go
@@ -1,6 +1,6 @@
-// Package problem holds the failure document that callers and operators
-// receive: RFC 9457 "problem details" with one extension member, execution,
-// which says whether the request may have taken effect.
+// Package problem implements the error document for callers and operators: RFC 9457
+// "problem details" with the extension member "execution", which says whether the request
+// may have been executed.
 package problem
 
 import (
@@ -10,23 +10,23 @@
 	"time"
 )
 
-// Execution states what is known about the request at the target.
+// Execution says whether the target executed the request.
 type Execution string
 
-// The three truths a failure may carry.
+// Values of Execution.
 const (
-	NotRun     Execution = "not-run"      // no target began it: safe to repeat
-	MayHaveRun Execution = "may-have-run" // a target may have begun it
-	Ran        Execution = "ran"          // a target ran it, its answer is not deliverable
+	NotRun     Execution = "not-run"      // no target started it: safe to retry
+	MayHaveRun Execution = "may-have-run" // a target may have started it
+	Ran        Execution = "ran"          // a target executed it, but its response can't be delivered
 )
 
-// ContentType is the media type of RFC 9457.
+// ContentType is the media type defined by RFC 9457.
 const ContentType = "application/problem+json"
 
-// Kind names one class of failure; it is the last part of the type URI.
+// Kind identifies a class of failure; it is the last segment of the type URI.
 type Kind string
 
-// Every kind a caller or an operator can meet.
+// Kinds of failure that callers and operators can receive.
 const (
 	BadRequest        Kind = "bad-request"
 	Unauthorized      Kind = "unauthorized"
@@ -47,13 +47,13 @@
 	OutcomeUnknown    Kind = "outcome-unknown"
 	LedgerUnavailable Kind = "ledger-unavailable"
 	Draining          Kind = "draining"
-	CutOff            Kind = "cut-off"     // the instance can't know whether its configuration is in force
-	Quarantined       Kind = "quarantined" // targets crashed under requests like this one
+	CutOff            Kind = "cut-off"     // the instance can't tell whether its configuration is in force
+	Quarantined       Kind = "quarantined" // targets crashed while running requests like this one
 	CallerGone        Kind = "caller-gone"
 	Internal          Kind = "internal"
 )
 
-// detailByKind say what a failure at the targets was.
+// detailByKind holds the detail texts for failures at the targets.
 var detailByKind = map[Kind]string{
 	NoTarget:      "no target can take the request now",
 	Overloaded:    "the targets refused the request",
@@ -65,7 +65,7 @@
 	Internal:      "internal error",
 }
 
-// Detail is what a caller is told of a failure at the targets; "" for other kinds.
+// Detail returns the detail text for a failure at the targets, or "" for other kinds.
 func Detail(k Kind) string { return detailByKind[k] }
 
 var statusByKind = map[Kind]int{
@@ -83,16 +83,16 @@
 	CallerGone:  499, Internal: http.StatusInternalServerError,
 }
 
-// Problem is one failure. It implements error, so it travels as one.
+// Problem describes one failure. It implements error.
 type Problem struct {
 	Kind       Kind
 	Detail     string
 	Execution  Execution
 	RequestID  string
-	RetryAfter time.Duration // 0: no advice
+	RetryAfter time.Duration // 0: no Retry-After header
 }
 
-// New builds a problem that certainly did not run.
+// New returns a problem for a request that was certainly not executed.
 func New(k Kind, detail string) *Problem {
 	return &Problem{Kind: k, Detail: detail, Execution: NotRun}
 }
@@ -102,7 +102,7 @@
 	return string(p.Kind) + " (" + string(p.Execution) + "): " + p.Detail
 }
 
-// Status is the HTTP status of the kind.
+// Status returns the HTTP status code of the kind.
 func (p *Problem) Status() int {
 	if s, ok := statusByKind[p.Kind]; ok {
 		return s
@@ -110,8 +110,8 @@
 	return http.StatusInternalServerError
 }
 
-// document is the wire form. The "error" member repeats the detail in the
-// shape that OpenAI client libraries look for.
+// document is the JSON representation. The member "error" repeats the detail in the
+// format that OpenAI client libraries expect.
 type document struct {
 	Type      string    `json:"type"`
 	Title     string    `json:"title"`
@@ -128,7 +128,7 @@
 	Code    string `json:"code"`
 }
 
-// MarshalJSON writes the RFC 9457 document.
+// MarshalJSON encodes the RFC 9457 document.
 func (p *Problem) MarshalJSON() ([]byte, error) {
 	return json.Marshal(document{
 		Type: "urn:shedhoist:problem:" + string(p.Kind), Title: string(p.Kind), Status: p.Status(),
@@ -137,7 +137,7 @@
 	})
 }
 
-// Write sends the problem as the whole answer.
+// Write sends the problem as the complete response.
 func (p *Problem) Write(w http.ResponseWriter) {
 	if p.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int((p.RetryAfter+time.Second-1)/time.Second)))
@@ -145,8 +145,8 @@
 	p.WriteBody(w)
 }
 
-// WriteBody sends the problem as the whole answer, with the advice on when to come
-// back as it stands in the header already.
+// WriteBody sends the problem as the complete response and leaves a Retry-After header
+// that is already set unchanged.
 func (p *Problem) WriteBody(w http.ResponseWriter) {
 	body, err := json.Marshal(p)
 	if err != nil {
@@ -157,5 +157,5 @@
 	h.Set("Content-Type", ContentType)
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(p.Status())
-	_, _ = w.Write(body) // a caller that is gone needs no answer
+	_, _ = w.Write(body) // the caller may be gone: a write error is ignored
 }
