--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -19,9 +19,8 @@
 // configuration sent to an instance that has just started.
 const MaxMessageBytes = 16 << 20
 
-// Bounds on what one message may unfold into.
+// Limits on the decoded size of one message.
 const (
-	// Limits on the decoded size of one message.
 	maxCollectionLength = 1 << 18
 	maxNestedLevels     = 16
 )
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -169,9 +169,8 @@
 	return nil
 }
 
-// Bounds of calls between peers.
+// Limits on calls and connections between peers.
 const (
-	// Limits on calls and connections between peers.
 	indirectTimeout = 500 * time.Millisecond
 	idleTimeout     = time.Minute
 	maxInboundConns = 1024 // open connections from peers
