--- a/internal/target/engine.go
+++ b/internal/target/engine.go
@@ -18,20 +18,20 @@
 	"github.com/shedhoist/shedhoist/internal/wait"
 )
 
-// Bounds of one exchange with an engine.
+// Limits on the size of responses from an engine.
 const (
-	maxEventBytes           = 1 << 20 // bytes of one event of a stream
-	maxControlResponseBytes = 4 << 20 // bytes of a status, event page or order answer
+	maxEventBytes           = 1 << 20 // one event of a stream
+	maxControlResponseBytes = 4 << 20 // response to a status, event, order or export call
 	maxErrorBodyBytes       = 64 << 10
 )
 
-// Client talks to engines and services.
+// Client sends requests to engines and services.
 type Client struct {
-	keepAliveClient *http.Client // connections are kept: only for targets that echo ids
-	singleUseClient *http.Client // one connection for each request
+	keepAliveClient *http.Client // reuses connections; only for targets that echo request ids
+	singleUseClient *http.Client // opens a connection for each request
 }
 
-// NewClient returns a client whose connects are bounded by connect.
+// NewClient returns a client whose connection setup is limited to connectTimeout.
 func NewClient(connectTimeout time.Duration) *Client {
 	dialer := &net.Dialer{Timeout: connectTimeout}
 	keepAlive := &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 256, IdleConnTimeout: 30 * time.Second,
@@ -42,16 +42,17 @@
 		singleUseClient: &http.Client{Transport: singleUse, CheckRedirect: netx.NoRedirect}}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() {
 	c.keepAliveClient.CloseIdleConnections()
 	c.singleUseClient.CloseIdleConnections()
 }
 
-// Body is a request's body in parts, so that a long prompt is not copied once
-// more to stand between our own members.
+// Body is a request body in parts, which saves copying a long prompt to insert it between
+// other members.
 type Body []string
 
+// size returns the total length in bytes.
 func (b Body) size() int64 {
 	n := 0
 	for _, part := range b {
@@ -60,9 +61,10 @@
 	return int64(n)
 }
 
+// reader returns a reader that net/http can't replay.
 func (b Body) reader() io.Reader { return netx.SingleUseBody(&partsReader{parts: b}) }
 
-// partsReader reads parts in turn and lets go of each one when it is read.
+// partsReader reads the parts in order and releases each one once it is read.
 type partsReader struct{ parts []string }
 
 // Read implements io.Reader.
@@ -81,9 +83,9 @@
 	return n, nil
 }
 
-// Run is one run at one engine.
+// Run is a run request to an engine.
 type Run struct {
-	Target   string // name, for errors
+	Target   string // name, for error messages
 	Address  string // host:port
 	Path     string // "/v1/completions" or "/v1/chat/completions"
 	ID       string
@@ -92,15 +94,15 @@
 	Now      time.Time
 }
 
-// Chunk is one event of a run's stream.
+// Chunk is one event of the response stream of a run.
 type Chunk struct {
-	Data         string // JSON as the engine sent it
-	Text         string // text added by this event
-	FinishReason string // finish reason, "" before the end
-	Usage        *Usage // on the usage event alone
+	Data         string // JSON as received
+	Text         string // text that this event adds
+	FinishReason string // "" until the run ends
+	Usage        *Usage // set only on the usage event
 }
 
-// Stream is a run under way.
+// Stream is the response stream of a run in progress.
 type Stream struct {
 	target string
 	resp   *http.Response
@@ -110,7 +112,7 @@
 	done   bool
 }
 
-// Start sends a run and waits for the head of its answer.
+// Start sends a run request and waits for the response header.
 func (c *Client) Start(ctx context.Context, r Run) (*Stream, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.Address+r.Path, r.Body.reader())
@@ -129,7 +131,7 @@
 		if !sent.MaybeSent {
 			return nil, &NotSentError{Target: r.Target, Cause: err}
 		}
-		return nil, &IncompleteError{Target: r.Target, Reason: "no answer", Cause: err}
+		return nil, &IncompleteError{Target: r.Target, Reason: "no response", Cause: err}
 	}
 	if err := checkResponse(r, resp); err != nil {
 		cancel()
@@ -140,7 +142,7 @@
 	return &Stream{target: r.Target, resp: resp, next: next, stop: stop, cancel: cancel}, nil
 }
 
-// checkResponse checks that the answer is this run's and that it is a stream.
+// checkResponse checks that a response belongs to the run and has status 200.
 func checkResponse(r Run, resp *http.Response) error {
 	if got := resp.Header.Get(HeaderRequestID); got != r.ID {
 		return &MismatchError{Target: r.Target, WantID: r.ID, GotID: got}
@@ -159,7 +161,8 @@
 	return &IncompleteError{Target: r.Target, Reason: "status " + strconv.Itoa(resp.StatusCode), Cause: err}
 }
 
-// retryAfter reads a Retry-After in whole seconds (RFC 9110, section 10.2.3); 0 is none.
+// retryAfter returns the delay of a Retry-After header in seconds (RFC 9110, section
+// 10.2.3), or 0 if there is none.
 func retryAfter(resp *http.Response) time.Duration {
 	n, err := strconv.Atoi(resp.Header.Get("Retry-After"))
 	if err != nil {
@@ -168,18 +171,18 @@
 	return wait.RetryAfter(float64(n))
 }
 
-// terminator ends every whole stream (OpenAI API reference, "Streaming").
+// terminator is the last event of every complete stream (OpenAI API reference, "Streaming").
 const terminator = "[DONE]"
 
-// Next returns the next event. io.EOF comes only behind the terminator; a
-// stream that ends without it gives a *IncompleteError.
+// Next returns the next event. It returns io.EOF only after the terminator; if the stream
+// ends without it, the error is an *IncompleteError.
 func (s *Stream) Next() (Chunk, error) {
 	if s.done {
 		return Chunk{}, io.EOF
 	}
 	ev, err, ok := s.next()
 	if !ok || err != nil {
-		return Chunk{}, &IncompleteError{Target: s.target, ResponseStarted: true, Reason: "stream ended without its terminator", Cause: err}
+		return Chunk{}, &IncompleteError{Target: s.target, ResponseStarted: true, Reason: "stream ended without terminator", Cause: err}
 	}
 	if ev.Data == terminator {
 		s.done = true
@@ -189,7 +192,7 @@
 	return parseChunk(s.target, ev.Data)
 }
 
-// drain reads to the end of the body, so that the connection can serve again.
+// drain reads to the end of the body, so that the connection can be reused.
 func (s *Stream) drain() {
 	for {
 		if _, err, ok := s.next(); !ok || err != nil {
@@ -198,13 +201,13 @@
 	}
 }
 
-// parseChunk reads one event in one pass over its members.
+// parseChunk parses an event in one pass over its members.
 func parseChunk(target, data string) (Chunk, error) {
 	fail := func(reason string) (Chunk, error) {
 		return Chunk{}, &IncompleteError{Target: target, ResponseStarted: true, Reason: reason}
 	}
 	if !gjson.Valid(data) {
-		return fail("event is not JSON")
+		return fail("event is not valid JSON")
 	}
 	c := Chunk{Data: data}
 	var choice, usage, errorMember gjson.Result
@@ -236,44 +239,45 @@
 	if usage.IsObject() {
 		c.Usage = &Usage{}
 		if err := json.Unmarshal([]byte(usage.Raw), c.Usage); err != nil {
-			return fail("usage is not as documented")
+			return fail("usage member is malformed")
 		}
 	}
 	return c, nil
 }
 
-// Close ends the exchange. A run that is not done is cancelled at the engine:
-// its connection is closed, never used again.
+// Close ends the exchange. If the run is not complete, closing its connection cancels it
+// at the engine.
 func (s *Stream) Close() {
 	s.stop()
 	s.cancel()
 	s.resp.Body.Close()
 }
 
-// Status asks an engine for its report.
+// Status requests the status report of an engine.
 func (c *Client) Status(ctx context.Context, address string) (Status, error) {
 	var out Status
 	return out, c.call(ctx, http.MethodGet, address, "/status", nil, &out)
 }
 
-// Events asks an engine for its cache events behind seq after.
+// Events requests the cache events of an engine after sequence number after.
 func (c *Client) Events(ctx context.Context, address string, after uint64) (Events, error) {
 	var out Events
 	return out, c.call(ctx, http.MethodGet, address, "/events?after="+strconv.FormatUint(after, 10), nil, &out)
 }
 
-// Order gives an order and returns the status behind it.
+// Order sends an order and returns the status after it.
 func (c *Client) Order(ctx context.Context, address string, o Order) (Status, error) {
 	var out Status
 	return out, c.call(ctx, http.MethodPost, address, "/orders", encode(o), &out)
 }
 
-// Export asks an engine to keep a chain in a store.
+// Export asks an engine to save a chain of cache blocks to a store.
 func (c *Client) Export(ctx context.Context, address string, e Export) (ExportResult, error) {
 	var out ExportResult
 	return out, c.call(ctx, http.MethodPost, address, "/kv/export", encode(e), &out)
 }
 
+// call sends a control request and decodes the JSON response into out.
 func (c *Client) call(ctx context.Context, method, address, path string, body []byte, out any) error {
 	fail := func(status int, err error) error {
 		return &CallError{Target: address, Path: path, Status: status, Cause: err}
--- a/internal/target/errors.go
+++ b/internal/target/errors.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// NotSentError says that no byte of the request reached a connection.
+// NotSentError says that no byte of the request was written to a connection.
 type NotSentError struct {
 	Target string
 	Cause  error
@@ -17,8 +17,7 @@
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Cause }
 
-// RefusedError says that the target refused in its documented way: it did not
-// run the request.
+// RefusedError is a documented refusal: the target did not run the request.
 type RefusedError struct {
 	Target     string
 	Status     int
@@ -31,8 +30,8 @@
 	return fmt.Sprintf("target %s: refused with status %d: %s", e.Target, e.Status, e.Reason)
 }
 
-// IncompleteError says that the exchange ended before a whole answer. Began is
-// true when the answer had begun.
+// IncompleteError says that the exchange ended before the response was complete.
+// ResponseStarted is true if part of the response had arrived.
 type IncompleteError struct {
 	Target          string
 	ResponseStarted bool
@@ -42,7 +41,7 @@
 
 // Error implements error.
 func (e *IncompleteError) Error() string {
-	msg := "target " + e.Target + ": broken: " + e.Reason
+	msg := "target " + e.Target + ": incomplete exchange: " + e.Reason
 	if e.Cause != nil {
 		msg += ": " + e.Cause.Error()
 	}
@@ -52,17 +51,16 @@
 // Unwrap returns the cause.
 func (e *IncompleteError) Unwrap() error { return e.Cause }
 
-// MismatchError says that the answer carried another request's id. Its
-// connection has been closed.
+// MismatchError says that the response carried the id of another request.
 type MismatchError struct{ Target, WantID, GotID string }
 
 // Error implements error.
 func (e *MismatchError) Error() string {
-	return fmt.Sprintf("target %s: answer belongs to request %q, not %q", e.Target, e.GotID, e.WantID)
+	return fmt.Sprintf("target %s: response belongs to request %q, not %q", e.Target, e.GotID, e.WantID)
 }
 
-// RejectedError is an answer of the target that is a failure of the request
-// itself, such as a 400: the answer is passed on, no retry helps.
+// RejectedError is a response that reports a fault of the request itself, such as status
+// 400. It is passed on to the caller; a retry does not help.
 type RejectedError struct {
 	Target      string
 	Status      int
@@ -75,7 +73,8 @@
 	return fmt.Sprintf("target %s: rejected with status %d", e.Target, e.Status)
 }
 
-// StaleOrderError says that the target has seen a higher fencing token.
+// StaleOrderError says that the target refused an order because it has seen a higher
+// fencing token.
 type StaleOrderError struct {
 	Target       string
 	HighestToken uint64
@@ -83,10 +82,10 @@
 
 // Error implements error.
 func (e *StaleOrderError) Error() string {
-	return fmt.Sprintf("target %s: order refused, fencing token %d seen", e.Target, e.HighestToken)
+	return fmt.Sprintf("target %s: order refused: higher fencing token %d already seen", e.Target, e.HighestToken)
 }
 
-// CallError says that a status, order or export call failed.
+// CallError says that a status, event, order or export call failed.
 type CallError struct {
 	Target, Path string
 	Status       int
--- a/internal/target/fuzz_test.go
+++ b/internal/target/fuzz_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// FuzzParseChunk: whatever an engine streams ends in a chunk or a typed failure.
+// FuzzParseChunk checks that parsing any event returns a chunk or an *IncompleteError.
 func FuzzParseChunk(f *testing.F) {
 	f.Add(`{"id":"x","choices":[{"index":0,"text":" a","finish_reason":null}]}`)
 	f.Add(`{"choices":[],"usage":{"prompt_tokens":1}}`)
--- a/internal/target/service.go
+++ b/internal/target/service.go
@@ -10,12 +10,12 @@
 	"github.com/shedhoist/shedhoist/internal/netx"
 )
 
-// Call is one request to a plain service.
+// Call is a request to a plain service.
 type Call struct {
 	Target           string
 	Address          string
 	Method           string
-	Path             string // with query
+	Path             string // including the query
 	Header           http.Header
 	Body             []byte
 	ID               string
@@ -24,22 +24,21 @@
 	MaxResponseBytes int64 // bytes
 }
 
-// Response is a service's whole answer.
+// Response is the complete response of a service.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// emptyBody is a body without bytes that is not http.NoBody. With it net/http
-// takes a request without a body as one it can't replay, whatever its method
-// and headers.
+// emptyBody returns a body without bytes that is not http.NoBody, so that net/http treats
+// a request without a body as not replayable, whatever its method and headers.
 func emptyBody() io.ReadCloser { return netx.SingleUseBody(bytes.NewReader(nil)) }
 
-// Do sends a call once and returns its whole answer, or an error that says
-// what is known. It never sends twice: the body can't be rewound, and a call
-// that is not idempotent, or goes to a service that does not echo ids, gets a
-// connection of its own, which no earlier or later answer can reach.
+// Do sends a call once and returns the complete response, or an error that says how far
+// the call got. It never sends twice: the body can't be rewound, and a call that is not
+// idempotent, or goes to a service that does not echo ids, uses a connection of its own,
+// so that it can't receive the response to an earlier or later call.
 func (c *Client) Do(ctx context.Context, call Call) (*Response, error) {
 	req, err := http.NewRequestWithContext(ctx, call.Method, "http://"+call.Address+call.Path, nil)
 	if err != nil {
@@ -61,29 +60,29 @@
 		if !sent.MaybeSent {
 			return nil, &NotSentError{Target: call.Target, Cause: err}
 		}
-		return nil, &IncompleteError{Target: call.Target, Reason: "no answer", Cause: err}
+		return nil, &IncompleteError{Target: call.Target, Reason: "no response", Cause: err}
 	}
 	defer resp.Body.Close()
 	return readResponse(call, resp)
 }
 
-// readResponse reads a whole answer and checks that it is the call's own.
+// readResponse reads a complete response and checks that it belongs to the call.
 func readResponse(call Call, resp *http.Response) (*Response, error) {
 	got := resp.Header.Get(HeaderRequestID)
 	if got != call.ID && (got != "" || call.EchoesID) {
 		return nil, &MismatchError{Target: call.Target, WantID: call.ID, GotID: got}
 	}
 	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-		// The end of the connection would be the end of the body: nothing
-		// tells a whole answer from a cut one (RFC 9112, section 6.3).
-		return nil, &IncompleteError{Target: call.Target, ResponseStarted: true, Reason: "answer states no length"}
+		// The body would end where the connection does, so that a complete
+		// response and a truncated one look the same (RFC 9112, section 6.3).
+		return nil, &IncompleteError{Target: call.Target, ResponseStarted: true, Reason: "response has no length"}
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, call.MaxResponseBytes+1))
 	if err != nil {
-		return nil, &IncompleteError{Target: call.Target, ResponseStarted: true, Reason: "answer is not whole", Cause: err}
+		return nil, &IncompleteError{Target: call.Target, ResponseStarted: true, Reason: "response is truncated", Cause: err}
 	}
 	if int64(len(body)) > call.MaxResponseBytes {
-		return nil, &IncompleteError{Target: call.Target, ResponseStarted: true, Reason: "answer is over " + strconv.FormatInt(call.MaxResponseBytes, 10) + " bytes"}
+		return nil, &IncompleteError{Target: call.Target, ResponseStarted: true, Reason: "response exceeds " + strconv.FormatInt(call.MaxResponseBytes, 10) + " bytes"}
 	}
 	if resp.Header.Get(HeaderExecution) == ExecutionNotRun && resp.StatusCode >= 400 {
 		return nil, &RefusedError{Target: call.Target, Status: resp.StatusCode, Reason: "documented refusal", RetryAfter: retryAfter(resp)}
--- a/internal/target/wire.go
+++ b/internal/target/wire.go
@@ -1,21 +1,21 @@
-// Package target is the edge towards model engines and plain services. The
-// engines' dialect stands in docs/STANDINS.md, "engine".
+// Package target is the client for model engines and plain services. The protocol of the
+// engines is specified in docs/STANDINS.md, section "engine".
 package target
 
 import "encoding/json"
 
-// Headers of the dialect.
+// Headers of the engine protocol.
 const (
-	HeaderRequestID = "X-Request-Id"  // echoed on every answer
-	HeaderExecution = "X-Execution"   // "not-run" on a documented refusal
+	HeaderRequestID = "X-Request-Id"  // echoed in every response
+	HeaderExecution = "X-Execution"   // "not-run" in a documented refusal
 	HeaderDeadline  = "X-Deadline-Ms" // time left for the request
 )
 
-// ExecutionNotRun is the value of HeaderExecution on a documented refusal.
+// ExecutionNotRun is the value of HeaderExecution in a documented refusal.
 const ExecutionNotRun = "not-run"
 
-// Extension is the member "shedhoist" of a run request: what an engine must
-// know beyond the OpenAI request.
+// Extension is the member "shedhoist" of a run request. It holds parameters that the
+// OpenAI request lacks.
 type Extension struct {
 	Version  string   `json:"weight_version"`
 	Adapter  string   `json:"adapter,omitempty"`
@@ -23,19 +23,19 @@
 	Salt     string   `json:"cache_salt"`
 	Keys     []string `json:"cache_keys,omitempty"`
 	Import   *Import  `json:"import,omitempty"`
-	Resume   string   `json:"resume_text,omitempty"` // continue behind this text
+	Resume   string   `json:"resume_text,omitempty"` // continue after this text
 }
 
-// Import tells the engine where to fetch cache from before it computes.
-// Without a manifest the engine, if it lacks any of the keys, looks for one in
-// the stores, in their order.
+// Import tells the engine where to fetch cached prefixes from before it computes. If no
+// manifest is named and the engine lacks any of the keys, it looks for a manifest in the
+// stores, in the given order.
 type Import struct {
-	Stores      []string `json:"stores"` // host:port; one, if a manifest is named
+	Stores      []string `json:"stores"` // host:port; exactly one if Manifest is set
 	Manifest    string   `json:"manifest,omitempty"`
-	CoveredKeys int      `json:"covered,omitempty"` // leading keys worth fetching
+	CoveredKeys int      `json:"covered,omitempty"` // number of leading keys worth fetching
 }
 
-// Usage is the count of tokens of a run.
+// Usage holds the token counts of a run.
 type Usage struct {
 	PromptTokens     int           `json:"prompt_tokens"`
 	CompletionTokens int           `json:"completion_tokens"`
@@ -43,17 +43,17 @@
 	PromptDetails    PromptDetails `json:"prompt_tokens_details"`
 }
 
-// PromptDetails says how much of the prompt was not computed.
+// PromptDetails says how many prompt tokens were not computed.
 type PromptDetails struct {
-	CachedTokens   int `json:"cached_tokens"`   // resident plus restored
-	RestoredTokens int `json:"restored_tokens"` // of these, imported from a store
+	CachedTokens   int `json:"cached_tokens"`   // resident and restored
+	RestoredTokens int `json:"restored_tokens"` // the part that was imported from a store
 }
 
-// Status is an engine's report of itself; it lags.
+// Status is the status report of an engine. It lags behind the actual state.
 type Status struct {
 	Name         string   `json:"name"`
 	Model        string   `json:"model"`
-	Version      string   `json:"weight_version"` // "" while none is loaded
+	Version      string   `json:"weight_version"` // "" if none is loaded
 	Adapters     []string `json:"adapters"`
 	Role         string   `json:"role"`
 	Leaving      bool     `json:"leaving"`
@@ -66,43 +66,43 @@
 	EventSeq     uint64   `json:"event_seq"`
 }
 
-// CacheEvent says that an engine now holds, or no longer holds, a key.
+// CacheEvent says that an engine added a cache key or removed one.
 type CacheEvent struct {
 	Seq     uint64 `json:"seq"`
 	Key     string `json:"key"`
 	Removed bool   `json:"removed,omitempty"`
 }
 
-// Events is a page of cache events. A Seq that is not the one before plus one
-// marks a gap.
+// Events is a page of cache events. Consecutive events have consecutive Seq values; any
+// other step means that events are missing.
 type Events struct {
 	Next   uint64       `json:"next"`
 	Events []CacheEvent `json:"events"`
 }
 
-// OrderKind is what an order asks for. Orders are absolute: to give one twice
-// changes nothing.
+// OrderKind is the kind of an order. Orders are idempotent: they state the desired
+// result, not a change.
 type OrderKind string
 
 // Order kinds.
 const (
-	OrderLoad        OrderKind = "load"         // be at weight version Version
-	OrderAdapter     OrderKind = "adapter"      // have adapter Adapter
-	OrderDropAdapter OrderKind = "drop-adapter" // not have adapter Adapter
-	OrderRole        OrderKind = "role"         // have role Role
+	OrderLoad        OrderKind = "load"         // load weight version Version
+	OrderAdapter     OrderKind = "adapter"      // load adapter Adapter
+	OrderDropAdapter OrderKind = "drop-adapter" // unload adapter Adapter
+	OrderRole        OrderKind = "role"         // assume role Role
 )
 
-// Order is one order to an engine.
+// Order is an order to an engine.
 type Order struct {
 	Kind         OrderKind `json:"kind"`
 	Version      string    `json:"weight_version,omitempty"`
 	Adapter      string    `json:"adapter,omitempty"`
 	Role         string    `json:"role,omitempty"`
-	FencingToken uint64    `json:"fence"` // fencing token of the lease it is given under
+	FencingToken uint64    `json:"fence"` // fencing token of the lease
 }
 
-// Export asks an engine to write the cache of a chain to a store: pieces
-// first, manifest last.
+// Export asks an engine to write a chain of cache blocks to a store: the pieces first,
+// the manifest last.
 type Export struct {
 	Store   string   `json:"store"`
 	Version string   `json:"weight_version"`
@@ -111,13 +111,13 @@
 	Keys    []string `json:"cache_keys"`
 }
 
-// ExportResult says how much of the chain is now kept.
+// ExportResult says how much of the chain is now saved.
 type ExportResult struct {
-	SavedKeys int   `json:"kept"`  // leading keys below the manifest
+	SavedKeys int   `json:"kept"`  // number of leading keys that the manifest covers
 	Bytes     int64 `json:"bytes"` // written to the store
 }
 
-// encode marshals a value of this package; its types always marshal.
+// encode marshals a wire type of this package, which can't fail.
 func encode(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
