--- a/internal/requestlog/findings.go
+++ b/internal/requestlog/findings.go
@@ -105,8 +105,8 @@
 }
 
 const (
-	// A response that exceeds its prediction both by minExcessMS and by minExcessFactor was
-	// delayed by something that the prediction of the instance did not account for.
+	// A response that took more than minExcessMS longer than predicted, and more than
+	// minExcessFactor times as long, was delayed by something unknown to the instance.
 	minExcessMS     = 150.0
 	minExcessFactor = 2.0
 )
@@ -156,7 +156,7 @@
 }
 
 // minStaleAge is the age from which the last response of the object store is reported:
-// the watches of instances that receive changes end sooner.
+// the watches by which instances receive changes return sooner than that.
 const minStaleAge = 2 * time.Second
 
 // findStoreOutage reports how old the state from the object store was.
