--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -14,8 +14,8 @@
 	"github.com/shedhoist/shedhoist/internal/registry"
 )
 
-// controlState is the mutable state of what this instance believes. Only the control
-// goroutine touches it; all others send events and read the published view.
+// controlState is what this instance knows of the fleet and the object store. Only the control
+// goroutine accesses it; other goroutines send events and read the published view.
 type controlState struct {
 	log log.Interface
 	now func() time.Time
@@ -27,55 +27,55 @@
 	named          map[string]NamedVersions
 	namedRevision  platform.Version // revision up to which named is complete
 	namedChanged   platform.Version // revision of the last change of named
-	// versionsListed is set once the named versions were heard of at all.
+	// versionsListed is set once the named versions have been received for the first time.
 	versionsListed  bool
-	rolloutWithin   time.Duration // time that a rollout may take
-	configWithin    time.Duration // time in which a configuration must be in force
+	rolloutWithin   time.Duration // bound on the duration of a rollout
+	configWithin    time.Duration // time within which a configuration must be in force everywhere
 	evacuated       evacuation.Zones
-	releasedAt      map[string]time.Time // when zones were taken back; replaced, never changed
-	warmupAllowedAt time.Time            // see warmupSettleTime
-	lastTick        time.Time            // at the last tick
-	// followsEvacuations says that operators evacuate zones: requests wait until it is known
-	// which.
+	releasedAt      map[string]time.Time // by zone: when its evacuation ended; copied on write, since views share it
+	warmupAllowedAt time.Time            // no requests to targets in warm-up before; see warmupSettleTime
+	lastTick        time.Time            // time of the last tick
+	// followsEvacuations is set if operators can evacuate zones: requests then wait until the
+	// evacuated zones are known.
 	followsEvacuations bool
 
-	rollout             RolloutUpdate // the newest heard of, or this instance's own
-	rolloutIsOwn        bool          // it is this instance's own
-	rolloutReceivedAt   time.Time     // when it was heard
+	rollout             RolloutUpdate // the newest one, from a peer or this instance itself
+	rolloutIsOwn        bool          // rollout was issued by this instance
+	rolloutReceivedAt   time.Time     // when rollout was received
 	members             *member.Machine
-	membersMissingSince time.Time // since when all peers heard of know more live members; zero: they don't
+	membersMissingSince time.Time // since when all peers heard from know more live members; zero if they don't
 	draining            bool
 	storeReachable      bool
 	staleness           *staleness.Tracker
 	isolation           isolation
-	// firstSourceUntil is until when what changes here may be news to all: this instance, in doubt,
-	// asked the object store itself.
+	// firstSourceUntil is the time until which changes that this instance learns may be unknown to
+	// all others: its state was stale, so it read the object store itself.
 	firstSourceUntil time.Time
-	// leavingReports is what targets said of leaving, see leaving.go.
+	// leavingReports holds the leaving notices of targets, see leaving.go.
 	leavingReports leavingReports
 
-	// Parts of views, kept until what they are made from changes.
+	// Snapshots that views share, kept until their inputs change.
 	fleet          fleetSnapshot
 	serving        servingSnapshot
 	pendingUpdates pendingUpdates
 }
 
-// event is one change of control state. Apply runs on the control goroutine.
+// event is one change of the control state. apply runs on the control goroutine.
 type event interface{ apply(*controlState) }
 
-// source says who a belief comes from, for logs.
+// source is where a piece of state came from, for logs.
 type source string
 
-// Sources of beliefs.
+// Sources of state.
 const (
 	fromStore  source = "store"
 	fromPeer   source = "peer"
-	fromAnswer source = "answer" // of a target to a request
-	fromReport source = "report" // of a target
-	fromOrder  source = "order"  // to a target
+	fromAnswer source = "answer" // a target's response to a request
+	fromReport source = "report" // a target's report
+	fromOrder  source = "order"  // a target's response to an order
 )
 
-// configReceived brings a configuration. A version never goes back.
+// configReceived delivers a configuration. The version in force never decreases.
 type configReceived struct {
 	cfg  *catalog.Config
 	raw  []byte
@@ -98,11 +98,11 @@
 	entry.Info("configuration in force")
 }
 
-// targetsListed brings all targets at a revision.
+// targetsListed delivers all targets at a revision.
 type targetsListed struct {
 	revision platform.Version
 	targets  []catalog.Target
-	vanished []string // of targets: their entries are gone, and a peer holds them for a while
+	vanished []string // names of targets whose entries are gone, but which a peer still retains for a while
 	from     source
 }
 
@@ -111,29 +111,29 @@
 	c.targets.ApplyList(e.revision, e.targets, e.vanished, c.now())
 }
 
-// targetsChanged brings changes up to a revision.
+// targetsChanged delivers the changes of targets up to a revision.
 type targetsChanged struct {
 	revision platform.Version
 	present  []catalog.Target
-	gone     []string // names
+	gone     []string // names of the targets removed
 }
 
 func (e targetsChanged) apply(c *controlState) {
 	c.targets.ApplyChanges(e.revision, e.present, e.gone, c.now())
 }
 
-// assumedVersionAge is how long ago a version is taken to have been named that this
-// process finds at its start: it may have missed most of the rollout's time. What
-// is left is enough for the first targets to load.
+// assumedVersionAge is the assumed age of a named version that this process finds at its start:
+// most of the rollout's time may have passed already. The time left is enough for the first
+// targets to load.
 func (c *controlState) assumedVersionAge() time.Duration {
 	return max(c.rolloutWithin-startupVersionGrace, 0)
 }
 
-// startupVersionGrace is the time for which a new process still uses older weights than
-// it found named, if no peer knows better.
+// startupVersionGrace is how long a new process still uses weights older than the version it
+// found named, unless a peer reports that version's age.
 const startupVersionGrace = 3 * time.Second
 
-// versionAgesReceived brings a peer's word of how long ago versions were named.
+// versionAgesReceived delivers a peer's report of how long ago versions were named.
 type versionAgesReceived struct{ ages []VersionAge }
 
 func (e versionAgesReceived) apply(c *controlState) {
@@ -142,7 +142,8 @@
 	}
 }
 
-// versionAges tells a peer how long ago versions were named, as far as that is no guess.
+// versionAges returns how long ago versions were named, for a peer. Versions whose age is only
+// assumed are left out.
 func (c *controlState) versionAges() []VersionAge {
 	var out []VersionAge
 	for model, n := range c.named {
@@ -156,16 +157,16 @@
 	return out
 }
 
-// targetWeightsObserved brings news of the weights that a target serves, from its own
-// answer to us.
+// targetWeightsObserved delivers the weight version that a target serves, taken from its response
+// to this instance.
 type targetWeightsObserved struct {
-	id     string // of the target's life
+	id     string // of the target's incarnation
 	serves catalog.ModelVersion
 }
 
 func (e targetWeightsObserved) apply(c *controlState) { c.targets.ApplyWeightVersion(e.id, e.serves) }
 
-// versionsNamed brings named weight versions. A version never goes back.
+// versionsNamed delivers named weight versions. A model's newest version never decreases.
 type versionsNamed struct {
 	revision platform.Version
 	changed  platform.Version // revision of the last change among versions
@@ -181,16 +182,16 @@
 		}
 		c.log.WithField("model", v.Model).WithField("version", v.Version).WithField("before", c.named[v.Model].Newest).
 			WithField("from", string(e.from)).Info("weight version named")
-		one := namedVersion{version: v.Version, learnedAt: c.now()}
+		named := namedVersion{version: v.Version, learnedAt: c.now()}
 		if !c.versionsListed {
-			one.learnedAt, one.assumed = one.learnedAt.Add(-c.assumedVersionAge()), true
+			named.learnedAt, named.assumed = named.learnedAt.Add(-c.assumedVersionAge()), true
 		}
-		c.named[v.Model] = c.named[v.Model].withVersion(one)
+		c.named[v.Model] = c.named[v.Model].withVersion(named)
 	}
 	c.versionsListed = true
 }
 
-// storeContactChanged says whether the object store answered.
+// storeContactChanged reports whether the object store responds.
 type storeContactChanged struct {
 	reachable bool
 	cause     error
@@ -210,11 +211,11 @@
 	c.log.WithError(e.cause).Warn("object store lost")
 }
 
-// cordonTTL is how long targets stay closed by one word of the instance that
-// gives orders; it repeats itself more often, for as long as it lives.
+// cordonTTL is how long targets stay cordoned after one update of the instance that gives orders.
+// That instance repeats the update more often than that while it runs.
 const cordonTTL = 4 * time.Second
 
-// rolloutReceived brings the news of a rollout.
+// rolloutReceived delivers a rollout update.
 type rolloutReceived struct {
 	update RolloutUpdate
 	own    bool
@@ -230,19 +231,19 @@
 	}
 }
 
-// shutdownBegun takes this instance out of service.
+// shutdownBegun marks this instance as draining.
 type shutdownBegun struct{}
 
 func (shutdownBegun) apply(c *controlState) { c.draining = true }
 
 // Pace of the control goroutine.
 const (
-	controlTick    = 50 * time.Millisecond // probes of peers, and lapses of held entries
-	eventQueueSize = 1024                  // events that may wait
+	controlTick    = 50 * time.Millisecond // interval of probing peers and expiring retained entries
+	eventQueueSize = 1024                  // events that may be queued
 )
 
-// runControl is the control goroutine. A view is published once for all events
-// that wait.
+// runControl is the control goroutine. It applies all queued events before it publishes one new
+// view.
 func (g *Gateway) runControl(ctx context.Context, c *controlState) {
 	defer close(g.controlDone)
 	tick := time.NewTicker(controlTick)
@@ -269,10 +270,10 @@
 			c.noteUpdates(v, old)
 			g.spreadUpdates(c, v)
 		case <-tick.C:
-			stood := c.detectPause()
+			paused := c.detectPause()
 			g.probePeers(c)
 			expired := c.targets.Expire(c.now())
-			if c.isolation.update(c.isIsolated(g.sincePeerContact()), c.log) || expired || stood || c.fleetChanged() || c.uncordoned() {
+			if c.isolation.update(c.isIsolated(g.sincePeerContact()), c.log) || expired || paused || c.fleetChanged() || c.uncordoned() {
 				g.view.Store(c.buildView())
 			}
 			g.spreadUpdates(c, g.view.Load())
@@ -280,20 +281,22 @@
 	}
 }
 
-// detectPause notes a tick, and says whether the instance stood still since the last one.
+// detectPause records a tick and reports whether the process was paused since the last one.
+// After a pause, the instance sends nothing to targets in warm-up for warmupSettleTime.
 func (c *controlState) detectPause() bool {
 	now := c.now()
-	still := now.Sub(c.lastTick)
-	stood := !c.lastTick.IsZero() && still > pauseThreshold
+	pause := now.Sub(c.lastTick)
+	paused := !c.lastTick.IsZero() && pause > pauseThreshold
 	c.lastTick = now
-	if stood {
+	if paused {
 		c.warmupAllowedAt = now.Add(warmupSettleTime)
-		c.log.WithField("ms", still.Milliseconds()).Warn("this instance stood still")
+		c.log.WithField("ms", pause.Milliseconds()).Warn("this instance stood still")
 	}
-	return stood
+	return paused
 }
 
-// sendEvent hands an event to the control goroutine; it gives up when the process ends.
+// sendEvent passes an event to the control goroutine. The event is dropped once that goroutine has
+// ended.
 func (g *Gateway) sendEvent(e event) {
 	select {
 	case g.events <- e:
@@ -312,13 +315,13 @@
 	close(e.done)
 }
 
-// queryControl runs f on the control goroutine and returns when f has run, or when
-// that goroutine has ended and f never will.
+// queryControl runs f on the control goroutine and returns once f has run, or once that goroutine
+// has ended and f will never run.
 func (g *Gateway) queryControl(f func(*controlState)) {
-	a := stateQuery{run: f, done: make(chan struct{})}
-	g.sendEvent(a)
+	query := stateQuery{run: f, done: make(chan struct{})}
+	g.sendEvent(query)
 	select {
-	case <-a.done:
+	case <-query.done:
 	case <-g.controlDone:
 	}
 }
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -11,32 +11,32 @@
 	"github.com/shedhoist/shedhoist/internal/registry"
 )
 
-// NamedVersions is what weight versions were named of a model.
+// NamedVersions holds the weight versions named for a model.
 type NamedVersions struct {
-	Newest  uint64         // the newest
-	history []namedVersion // rising, the last few
+	Newest  uint64         // the newest version named; 0 if there is none
+	history []namedVersion // the last maxNamedHistory versions, ascending
 }
 
 type namedVersion struct {
 	version   uint64
-	learnedAt time.Time // when this instance learned it
-	assumed   bool      // it found the version at its start: since is a guess
+	learnedAt time.Time // when this instance learned of the version
+	assumed   bool      // the version was found at startup: learnedAt is an estimate
 }
 
-// maxNamedHistory is how many versions are remembered: more are not under way at once.
+// maxNamedHistory bounds the versions kept per model: no more are rolled out at a time.
 const maxNamedHistory = 8
 
-// withVersion returns n with a newer version.
-func (n NamedVersions) withVersion(one namedVersion) NamedVersions {
-	history := append(slices.Clone(n.history), one)
+// withVersion returns a copy of n with a newer version added.
+func (n NamedVersions) withVersion(newest namedVersion) NamedVersions {
+	history := append(slices.Clone(n.history), newest)
 	if len(history) > maxNamedHistory {
 		history = history[1:]
 	}
-	return NamedVersions{Newest: one.version, history: history}
+	return NamedVersions{Newest: newest.version, history: history}
 }
 
-// withAge returns n with a version that was named that long ago by the word of a
-// peer that saw it, unless this instance saw it too.
+// withAge returns a copy of n in which an assumed age of a version is replaced by the one that a
+// peer reported. An age that this instance observed itself stays.
 func (n NamedVersions) withAge(version uint64, age time.Duration, now time.Time) NamedVersions {
 	history := slices.Clone(n.history)
 	for i, h := range history {
@@ -47,8 +47,8 @@
 	return NamedVersions{Newest: n.Newest, history: history}
 }
 
-// outdatedFor is how long it has been known that a version is not the newest; 0 if
-// it is.
+// outdatedFor returns how long a version has been known to be older than the newest one: the time
+// since the first newer version. It returns 0 for the newest version.
 func (n NamedVersions) outdatedFor(version uint64, now time.Time) time.Duration {
 	for _, h := range n.history {
 		if h.version > version {
@@ -58,53 +58,53 @@
 	return 0
 }
 
-// View is the picture that request goroutines read. Nobody changes one after
-// it was published.
+// View is the state that request goroutines read. A published view is immutable.
 type View struct {
-	Config               *catalog.Config              // nil: none yet
-	NewestReportedConfig uint64                       // the newest version that was spoken of, in force here or not
+	Config               *catalog.Config              // nil if none has been received
+	NewestReportedConfig uint64                       // newest version in force here or reported by a peer
 	ConfigBytes          int                          // size of Config as stored
-	Targets              map[string]*catalog.Target   // by id, all whose entries are usable
-	Serving              map[string][]*catalog.Target // by service: those that take new requests, sorted by id
-	// Candidates are those of Serving that this instance uses by preference.
+	Targets              map[string]*catalog.Target   // by id: all targets with a usable entry
+	Serving              map[string][]*catalog.Target // by service: targets that accept new requests, sorted by id
+	// Candidates are, by service, the targets of Serving that this instance prefers.
 	Candidates     map[string][]*catalog.Target
-	Outdated       []*catalog.Target        // those with older weights than named that do not leave
+	Outdated       []*catalog.Target        // targets with weights older than named that are not leaving
 	NamedVersions  map[string]NamedVersions // by model
-	Departed       []registry.Departure     // targets that left the list lately
-	OtherInstances []string                 // names of all other instances that have not left, lost ones too
-	InstanceCount  int                      // known of, this one included, the lately lost too
-	Alive          []string                 // names of live instances, this one included, sorted
-	Peers          []member.Member          // the same as members
-	Attached       []string                 // those of them that the object store answers; all, if it answers none
-	Tree           *relayTree               // how they pass things on
-	IsWatcher      bool                     // this instance notices changes for all
-	WatchRank      int                      // its rank for that: the first ones are watchers
-	Watchers       []string                 // names of all that do
-	TargetsListed  bool                     // targets were listed at least once
-	// EvacuatedZones get no requests. Evacuated is how many targets that leaves out, by
-	// service; EvacuationsRevision is up to where the list is complete.
+	Departed       []registry.Departure     // targets that recently left the list
+	OtherInstances []string                 // names of all other instances that have not left, including dead ones
+	InstanceCount  int                      // number of known instances, including this one and recently lost ones
+	Alive          []string                 // sorted names of the live instances, including this one
+	Peers          []member.Member          // the instances in Alive, as members
+	Attached       []string                 // names of live instances that reach the object store; all live ones if none does
+	Tree           *relayTree               // how instances relay state to one another
+	IsWatcher      bool                     // this instance watches the object store on behalf of all
+	WatchRank      int                      // its rank for that role: the lowest ranks are watchers
+	Watchers       []string                 // names of all watchers
+	TargetsListed  bool                     // the list of targets was received at least once
+	// EvacuatedZones get no requests. EvacuatedTargets counts the targets that this excludes, by
+	// service. EvacuationsRevision is the revision up to which the list of zones is
+	// complete.
 	EvacuatedZones      []string
 	EvacuatedTargets    map[string]int
 	EvacuationsRevision platform.Version
-	// ReleasedAt is when zones were taken back, by zone.
+	// ReleasedAt is when the evacuation of a zone ended, by zone.
 	ReleasedAt         map[string]time.Time
 	warmupShares       *warmupShares
-	WarmupAllowedAt    time.Time        // before that nothing is sent to cold targets
-	EvacuationsUnknown bool             // they were not told yet
-	Draining           bool             // this instance is stopping
-	Isolated           bool             // it hears neither the object store nor a peer
-	TargetsRevision    platform.Version // up to which the list of targets is complete
-	Rollout            RolloutUpdate    // what the instance that gives orders told last
-	StoreReachable     bool             // the object store answers
+	WarmupAllowedAt    time.Time        // no requests to targets in warm-up before that
+	EvacuationsUnknown bool             // the evacuated zones have not been received yet
+	Draining           bool             // this instance is shutting down
+	Isolated           bool             // neither the object store nor any peer responds
+	TargetsRevision    platform.Version // revision up to which the list of targets is complete
+	Rollout            RolloutUpdate    // last update of the instance that gives orders
+	StoreReachable     bool             // the object store responds
 }
 
-// initialized says whether all that requests need is known.
+// initialized reports whether everything that requests need is known.
 func (v *View) initialized() bool { return v.Config != nil && v.TargetsListed && !v.EvacuationsUnknown }
 
-// viewHolder publishes views.
+// viewHolder holds the published view.
 type viewHolder struct{ p atomic.Pointer[View] }
 
-// Load returns the latest view; never nil.
+// Load returns the latest view, or an empty one if none was published; never nil.
 func (h *viewHolder) Load() *View {
 	if v := h.p.Load(); v != nil {
 		return v
--- a/internal/gateway/view_build.go
+++ b/internal/gateway/view_build.go
@@ -13,11 +13,11 @@
 	"github.com/shedhoist/shedhoist/internal/registry"
 )
 
-// A view is published at each event, many times a second, and a large fleet has
-// hundreds of instances and thousands of targets. So the parts of a view are made anew
-// only when what they are made from has changed; views share them.
+// A view is published for each event, many times a second, and a large fleet has hundreds of
+// instances and thousands of targets. So a view consists of snapshots that are rebuilt only when
+// their inputs have changed; successive views share them.
 
-// fleetSnapshot is what a view says of the instances.
+// fleetSnapshot is the part of a view that describes the instances.
 type fleetSnapshot struct {
 	valid     bool
 	instances int
@@ -32,7 +32,7 @@
 	warmup    *warmupShares
 }
 
-// fleetChanged says whether the instances changed since the part was made.
+// fleetChanged reports whether the instances changed since the snapshot was built.
 func (c *controlState) fleetChanged() bool {
 	if c.members.TakeChanged() {
 		c.fleet.valid = false
@@ -40,7 +40,7 @@
 	return !c.fleet.valid
 }
 
-// currentFleet returns the part on the instances, made anew if need be.
+// currentFleet returns the snapshot of the instances, rebuilt if they have changed.
 func (c *controlState) currentFleet() fleetSnapshot {
 	if !c.fleetChanged() {
 		return c.fleet
@@ -66,7 +66,7 @@
 		}
 	}
 	if len(p.attached) == 0 {
-		p.attached = p.alive // nobody reaches the store: the roles stay where they are
+		p.attached = p.alive // no instance reaches the store: roles stay as they are
 	}
 	p.tree = newRelayTree(p.peers, self)
 	p.watchRank = rankOf(p.attached, self.Name, watcherRole)
@@ -76,34 +76,35 @@
 	return p
 }
 
-// servingSnapshot is what a view says of the targets.
+// servingSnapshot is the part of a view that describes the targets, with the inputs that it was
+// built from.
 type servingSnapshot struct {
 	valid          bool
-	cfg            *catalog.Config   // that it was made with
-	tableEdits     uint64            // of the table that it was made from
-	cordoned       map[string]bool   // targets left out, since they are about to load weights
-	newestVersions map[string]uint64 // weight versions named, by model
+	cfg            *catalog.Config   // configuration used
+	tableEdits     uint64            // edit count of the target table used
+	cordoned       map[string]bool   // ids of targets excluded because they are about to load weights
+	newestVersions map[string]uint64 // newest named weight version, by model
 	targets        map[string]*catalog.Target
 	serving        map[string][]*catalog.Target
 	candidates     map[string][]*catalog.Target
 	outdated       []*catalog.Target
 	departed       []registry.Departure
-	evacuatedZones []string       // evacuated
-	evacuatedCount map[string]int // targets left out for that, by service
+	evacuatedZones []string       // zones excluded
+	evacuatedCount map[string]int // targets in these zones, by service
 }
 
-// currentServing returns the part on the targets, made anew if need be.
+// currentServing returns the snapshot of the targets, rebuilt if one of its inputs has changed.
 func (c *controlState) currentServing() servingSnapshot {
-	closing, newest := c.cordoned(), map[string]uint64{}
+	cordoned, newest := c.cordoned(), map[string]uint64{}
 	for model, n := range c.named {
 		newest[model] = n.Newest
 	}
 	zones := c.evacuated.Names()
 	old := &c.serving
-	if old.valid && old.cfg == c.cfg && old.tableEdits == c.targets.Edits() && maps.Equal(old.cordoned, closing) && maps.Equal(old.newestVersions, newest) && slices.Equal(old.evacuatedZones, zones) {
+	if old.valid && old.cfg == c.cfg && old.tableEdits == c.targets.Edits() && maps.Equal(old.cordoned, cordoned) && maps.Equal(old.newestVersions, newest) && slices.Equal(old.evacuatedZones, zones) {
 		return *old
 	}
-	p := servingSnapshot{valid: true, cfg: c.cfg, tableEdits: c.targets.Edits(), cordoned: closing, newestVersions: newest, targets: make(map[string]*catalog.Target, len(c.targets.Entries())),
+	p := servingSnapshot{valid: true, cfg: c.cfg, tableEdits: c.targets.Edits(), cordoned: cordoned, newestVersions: newest, targets: make(map[string]*catalog.Target, len(c.targets.Entries())),
 		serving: map[string][]*catalog.Target{}, departed: c.targets.Departures(), evacuatedZones: zones, evacuatedCount: map[string]int{}}
 	for _, t := range c.targets.Entries() {
 		if t.Unusable {
@@ -119,7 +120,7 @@
 		switch {
 		case slices.Contains(zones, t.Zone):
 			p.evacuatedCount[t.Service]++
-		case !closing[t.ID]:
+		case !cordoned[t.ID]:
 			p.serving[t.Service] = append(p.serving[t.Service], &t.Target)
 		}
 	}
@@ -128,7 +129,7 @@
 	return p
 }
 
-// isOutdated says whether a target has older weights than named.
+// isOutdated reports whether a target serves a model with weights older than the newest named.
 func isOutdated(t *catalog.Target, newest map[string]uint64) bool {
 	for _, m := range t.Models {
 		if m.Version < newest[m.Model] {
@@ -138,14 +139,15 @@
 	return false
 }
 
-// maxCandidates is how many targets of a service an instance considers for a request:
-// enough to find one that is free and near the stores, while the cost of a decision does
-// not grow with the fleet. A service of up to as many targets is considered whole.
+// maxCandidates is the number of targets of a service that an instance considers for a request:
+// enough to find one that is free and near the stores, while the cost of a decision does not grow
+// with the fleet. All targets of a service that has no more than that are considered.
 const maxCandidates = 64
 
-// chooseCandidates chooses for each large service the targets that this instance uses: those of
-// its own zone before others, and among these by rendezvous hashing, so that each target
-// is used by about as many instances and what an instance learns of a target stays of use.
+// chooseCandidates chooses for each large service the targets that this instance uses: those in
+// its own zone first, then by rendezvous hashing. So every target is used by about the same number
+// of instances, and a change of the list keeps most candidates, with what this instance has
+// learned of them.
 func (c *controlState) chooseCandidates(serving map[string][]*catalog.Target) map[string][]*catalog.Target {
 	out := make(map[string][]*catalog.Target, len(serving))
 	zone := c.members.Self().Zone
@@ -166,7 +168,7 @@
 	return out
 }
 
-// compareBool orders true before false.
+// compareBool compares two values for sorting true before false.
 func compareBool(a, b bool) int {
 	switch {
 	case a == b:
@@ -177,8 +179,8 @@
 	return 1
 }
 
-// cordoned names the targets that shall get no new requests, since they are
-// about to load weights.
+// cordoned returns the ids of the targets that get no new requests because they are about to load
+// weights.
 func (c *controlState) cordoned() map[string]bool {
 	out := map[string]bool{}
 	if c.now().Sub(c.rolloutReceivedAt) < cordonTTL {
@@ -189,13 +191,12 @@
 	return out
 }
 
-// uncordoned says whether the view published last leaves out targets that are no longer
-// closing.
+// uncordoned reports whether the last published view excludes targets that are no longer cordoned.
 func (c *controlState) uncordoned() bool {
 	return len(c.serving.cordoned) > 0 && len(c.cordoned()) == 0
 }
 
-// buildView builds the picture that request goroutines read.
+// buildView builds a view from the current state.
 func (c *controlState) buildView() *View {
 	f, s := c.currentFleet(), c.currentServing()
 	v := &View{
@@ -211,7 +212,8 @@
 	return v
 }
 
-// newTargetTable returns an empty list of targets.
+// newTargetTable returns an empty target table. Ranks of targets are specific to the instance self,
+// see chooseCandidates.
 func newTargetTable(l log.Interface, self string) *registry.Table {
 	return registry.New(registry.Options{Log: l, Rank: func(name string) uint64 { return rendezvous.Score(self, name) }, DepartureRetention: departedTTL})
 }
