--- a/internal/gateway/crash_detector.go
+++ b/internal/gateway/crash_detector.go
@@ -12,22 +12,23 @@
 	"github.com/shedhoist/shedhoist/internal/metric"
 )
 
-// Whether a target crashed when the connection of a request broke: a target may also reset
-// connections, or cut answers short, and live on.
+// When the connection of a request breaks, the target may have crashed, or it may have reset the
+// connection or truncated the response and still be running. The crash detector finds out which by
+// connecting to the target.
 
-// Bounds of looking.
+// Bounds of crash detection.
 const (
-	// crashRetention is how long a crash is remembered for requests whose break is noticed late.
-	// A target that starts again under the same id takes longer.
+	// crashRetention is how long a crash is remembered, for requests whose broken connection is
+	// noticed late. A target takes longer than that to start again under the same id.
 	crashRetention = time.Second
-	// crashEjectTime keeps requests away from a target that crashed: its entry stands until its
-	// heartbeats are missed, for some seconds.
+	// crashEjectTime is how long a crashed target gets no requests: its entry remains for some
+	// seconds, until its missed heartbeats are noticed.
 	crashEjectTime = 3 * time.Second
-	// maxCrashRequests bounds the requests that are remembered of one crash.
+	// maxCrashRequests bounds the interrupted requests that are recorded for one crash.
 	maxCrashRequests = 128
 )
 
-// interruptedRequest is a request whose connection to a target broke.
+// interruptedRequest is a request whose connection to its target broke.
 type interruptedRequest struct {
 	id       string
 	key      quarantine.Key
@@ -35,19 +36,22 @@
 	route    string
 }
 
-// crashDetector looks after broken connections, once for each life of a target at a time.
+// crashDetector checks whether targets crashed when connections to them broke. At most one check
+// runs at a time for each incarnation of a target.
 type crashDetector struct {
 	g      *Gateway
 	mu     sync.Mutex
-	checks map[string]*crashCheck // by the target's life
+	checks map[string]*crashCheck // by id of the target's incarnation
 }
 
+// crashCheck is a check in progress, or a crash found within the last crashRetention.
 type crashCheck struct {
 	crashed     bool
-	interrupted []interruptedRequest // until the outcome is known
+	interrupted []interruptedRequest // collected until the result is known
 }
 
-// connBroken notes that the connection of a request broke while it was under way.
+// connBroken records a request whose connection to a target broke. It starts a check unless one is
+// running, and handles the request at once if the target is known to have crashed.
 func (c *crashDetector) connBroken(t *catalog.Target, r interruptedRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,13 +70,13 @@
 	}
 }
 
-// probe connects to the target: a process that is gone is known by its host's refusal.
+// probe connects to the target. If the host refuses the connection, the target's process is gone.
 func (c *crashDetector) probe(t *catalog.Target, check *crashCheck) {
-	asked := c.g.now()
-	err := c.connect(t.Address)
+	startedAt := c.g.now()
+	err := c.dial(t.Address)
 	refused := errors.Is(err, syscall.ECONNREFUSED)
 	c.mu.Lock()
-	broken := check.interrupted
+	interrupted := check.interrupted
 	check.crashed, check.interrupted = refused, nil
 	if refused {
 		c.g.breaker.Eject(t.ID, crashEjectTime)
@@ -81,13 +85,13 @@
 		delete(c.checks, t.ID)
 	}
 	c.mu.Unlock()
-	entry := c.g.log.WithField("target", t.ID).WithField("address", t.Address).WithField("requests", len(broken)).
-		WithField("took_ms", c.g.now().Sub(asked).Milliseconds())
+	entry := c.g.log.WithField("target", t.ID).WithField("address", t.Address).WithField("requests", len(interrupted)).
+		WithField("took_ms", c.g.now().Sub(startedAt).Milliseconds())
 	switch {
 	case refused:
 		metric.TargetCrashes.Inc()
 		entry.Info("target crashed")
-		c.g.handleCrash(t, broken)
+		c.g.handleCrash(t, interrupted)
 	case err != nil:
 		entry.WithError(err).Info("connections to a target broke, whether it crashed is not known")
 	default:
@@ -95,13 +99,15 @@
 	}
 }
 
+// forget removes the record of a crash.
 func (c *crashDetector) forget(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.checks, id)
 }
 
-func (c *crashDetector) connect(address string) error {
+// dial opens and closes a connection to an address.
+func (c *crashDetector) dial(address string) error {
 	ctx, cancel := context.WithTimeout(c.g.ctx, targetConnectTimeout)
 	defer cancel()
 	conn, err := c.g.upstream.dial(ctx, "tcp", address)
--- a/internal/gateway/evacuations.go
+++ b/internal/gateway/evacuations.go
@@ -10,16 +10,17 @@
 	"github.com/shedhoist/shedhoist/internal/platform"
 )
 
-// Operators evacuate a zone by an object of its name in the object store, and take it back by
-// removing that. The list of evacuated zones goes the ways of the configuration: watches,
-// news, ages. Its targets get no request then; weights are still loaded there, and streams
-// under way end whole.
+// Operators evacuate a zone by creating an object of its name in the object store, and release it by
+// deleting that object. The list of evacuated zones reaches instances like the configuration does:
+// by watches, updates between peers and checks for staleness. Targets in an evacuated zone get no
+// new requests; they still load weights, and streams in progress run to their end.
 
-// evacuationsWatchTimeout is how long a watcher's watch of the evacuated zones waits. One that is
-// followed by nobody any more is doubted 1.5 s later, and so is in force within 4 s.
+// evacuationsWatchTimeout is how long a watcher's watch of the evacuated zones waits. If no watcher
+// watches them any more, copies of the list count as stale 1.5 s later, so an evacuation is in force
+// within 4 s.
 const evacuationsWatchTimeout = 1500 * time.Millisecond
 
-// evacuationsFeed follows the evacuated zones.
+// evacuationsFeed returns the feed that watches the evacuated zones.
 func (g *Gateway) evacuationsFeed() feed {
 	return feed{kind: g.codec.EvacuationsKind(), watcherTimeout: evacuationsWatchTimeout, refresh: g.evacuationsDue,
 		onList: g.listEvacuations, onChanges: g.changeEvacuations,
@@ -28,7 +29,8 @@
 		onConfirmed:   func(at time.Time) { g.confirmComplete(staleness.Evacuations, at) }}
 }
 
-// listEvacuations takes the list. An object evacuates the zone of its name, whatever its body.
+// listEvacuations applies a list of the evacuated zones. An object evacuates the zone of its name,
+// whatever its content.
 func (g *Gateway) listEvacuations(s platform.Snapshot) {
 	e := evacuationsListed{revision: s.Revision, from: fromStore}
 	for _, o := range s.Objects {
@@ -38,6 +40,7 @@
 	g.sendEvent(e)
 }
 
+// changeEvacuations applies changes of the evacuated zones.
 func (g *Gateway) changeEvacuations(c platform.Changes) {
 	e := evacuationsChanged{revision: c.Revision}
 	for _, ch := range c.Changes {
@@ -46,7 +49,7 @@
 	g.sendEvent(e)
 }
 
-// evacuationsListed brings all evacuated zones at a revision.
+// evacuationsListed delivers all evacuated zones at a revision.
 type evacuationsListed struct {
 	revision platform.Version
 	changed  platform.Version // revision of the last change
@@ -61,7 +64,7 @@
 	}
 }
 
-// evacuationsChanged brings changes of the list up to a revision.
+// evacuationsChanged delivers the changes of the list up to a revision.
 type evacuationsChanged struct {
 	revision platform.Version
 	changes  []evacuation.Change
@@ -74,8 +77,8 @@
 	}
 }
 
-// noteEvacuationChange notes which zones were taken back: their targets are cold now, whether they
-// have said so yet or not.
+// noteEvacuationChange records when zones were released. Their targets are warming up from then on,
+// whether or not their entries already say so.
 func (c *controlState) noteEvacuationChange(before []string, from source) {
 	now := c.evacuated.Names()
 	released := map[string]time.Time{}
@@ -90,7 +93,7 @@
 		Info("evacuated zones changed")
 }
 
-// allEvacuated says whether all targets of a service that could serve are in evacuated zones.
+// allEvacuated reports whether all targets of a service that could serve are in evacuated zones.
 func (v *View) allEvacuated(service string) bool {
 	return len(v.Serving[service]) == 0 && v.EvacuatedTargets[service] > 0
 }
--- a/internal/gateway/unreachable_zones.go
+++ b/internal/gateway/unreachable_zones.go
@@ -14,163 +14,169 @@
 	"github.com/shedhoist/shedhoist/internal/wait"
 )
 
-// A zone that loses power, or is cut off, takes all its targets at once, and a silent target
-// costs each request that meets it hundreds of milliseconds. So the first silent connect
-// has the instance look at others of the zone, by connects alone; if none answers it tells all
-// instances, which look for themselves.
+// When a zone loses power or its network, all its targets are lost at once, and a target that does
+// not respond costs each request sent to it hundreds of milliseconds. So the first connection
+// attempt without a response makes the instance probe other targets in the zone, by connecting to
+// them. If none responds, it reports the zone to all instances, which probe it themselves.
 
 const (
-	// slowConnectThreshold is the time after which a connect seems silent: a round trip between zones
-	// and a target's work on a new connection take a few milliseconds.
+	// slowConnectThreshold is the time after which a connection attempt counts as unanswered: a
+	// round trip between zones and a target's accepting the connection take a few milliseconds.
 	slowConnectThreshold = 120 * time.Millisecond
-	// zoneProbeTimeout is how long a look waits for a connect.
+	// zoneProbeTimeout bounds each connection attempt of a probe.
 	zoneProbeTimeout = 150 * time.Millisecond
-	// zoneProbeTargets is how many targets of a zone a look connects to.
+	// zoneProbeTargets is the number of targets in a zone that a probe connects to.
 	zoneProbeTargets = 3
-	// minZoneTargets is how many targets a zone must have to be believed dark as a whole.
+	// minZoneTargets is the number of targets that a zone must have to be treated as unreachable as
+	// a whole.
 	minZoneTargets = 2
-	// zoneProbeInterval is the pause between two looks at a dark zone, by one connect each.
+	// zoneProbeInterval is the mean pause between probes of an unreachable zone, of one target each.
 	zoneProbeInterval = 250 * time.Millisecond
-	// zoneReportTimeout bounds the message on a dark zone.
+	// zoneReportTimeout bounds the report of an unreachable zone to a peer.
 	zoneReportTimeout = 300 * time.Millisecond
 )
 
-// zoneMonitor are what an instance believes of zones, and the attempts that end with them.
+// zoneMonitor tracks which zones are reachable, and the attempts to abandon when one is not.
 type zoneMonitor struct {
 	g       *Gateway
 	zones   zonehealth.Tracker
 	mu      sync.Mutex
-	waiting map[string]map[*attemptState]func() // by zone: attempts without an answer, and what ends them
+	waiting map[string]map[*attemptState]func() // by zone: attempts that wait for a response, with the function that abandons each
 }
 
-// trackAttempt notes an attempt that waits for an answer from a zone. leave ends it, if it may be
-// ended. The function returned forgets it.
-func (d *zoneMonitor) trackAttempt(zone string, at *attemptState, leave func()) (forget func()) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.waiting[zone] == nil {
-		d.waiting[zone] = map[*attemptState]func(){}
+// trackAttempt records an attempt that waits for a response from a zone. abandon ends the attempt
+// if that is allowed. The function returned removes the record.
+func (m *zoneMonitor) trackAttempt(zone string, at *attemptState, abandon func()) (forget func()) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.waiting[zone] == nil {
+		m.waiting[zone] = map[*attemptState]func(){}
 	}
-	d.waiting[zone][at] = leave
+	m.waiting[zone][at] = abandon
 	return func() {
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		delete(d.waiting[zone], at)
+		m.mu.Lock()
+		defer m.mu.Unlock()
+		delete(m.waiting[zone], at)
 	}
 }
 
-// abandonAll ends the attempts that wait for a zone.
-func (d *zoneMonitor) abandonAll(zone string) (left int) {
-	d.mu.Lock()
-	var leave []func()
-	for _, f := range d.waiting[zone] {
-		leave = append(leave, f)
+// abandonAll abandons the attempts that wait for a zone, and returns their number.
+func (m *zoneMonitor) abandonAll(zone string) (abandoned int) {
+	m.mu.Lock()
+	var abandons []func()
+	for _, abandon := range m.waiting[zone] {
+		abandons = append(abandons, abandon)
 	}
-	d.mu.Unlock()
-	for _, f := range leave {
-		f()
+	m.mu.Unlock()
+	for _, abandon := range abandons {
+		abandon()
 	}
-	return len(leave)
+	return len(abandons)
 }
 
-// connectSlow takes that a connect to a target did not come about in a usual time.
-func (d *zoneMonitor) connectSlow(t *catalog.Target) {
-	if d.zones.BeginProbe(t.Zone, d.g.now()) {
-		d.g.spawn(func() { d.probeZone(t.Zone, "") })
+// connectSlow is called when a connection attempt to a target exceeds slowConnectThreshold. It
+// starts a probe of the target's zone, unless one has just run or is running.
+func (m *zoneMonitor) connectSlow(t *catalog.Target) {
+	if m.zones.BeginProbe(t.Zone, m.g.now()) {
+		m.g.spawn(func() { m.probeZone(t.Zone, "") })
 	}
 }
 
-// probeZone connects to some targets of a zone. from is who told of it, "" if this instance met the
-// silence itself.
-func (d *zoneMonitor) probeZone(zone, from string) {
-	targets := d.g.view.Load().targetsInZone(zone)
+// probeZone connects to some targets in a zone, and marks the zone as unreachable if none responds.
+// foundBy is the instance that reported the zone, "" if this instance noticed it itself.
+func (m *zoneMonitor) probeZone(zone, foundBy string) {
+	targets := m.g.view.Load().targetsInZone(zone)
 	if len(targets) < minZoneTargets {
-		d.zones.EndProbe(zone, true)
+		m.zones.EndProbe(zone, true)
 		return
 	}
 	rand.Shuffle(len(targets), func(i, j int) { targets[i], targets[j] = targets[j], targets[i] })
 	targets = targets[:min(zoneProbeTargets, len(targets))]
 	answers := make(chan bool, len(targets))
 	for _, t := range targets {
-		d.g.spawn(func() { answers <- d.probeTarget(t) })
+		m.g.spawn(func() { answers <- m.probeTarget(t) })
 	}
-	some := false
+	reachable := false
 	for range targets {
-		some = <-answers || some
+		reachable = <-answers || reachable
 	}
-	if !d.zones.EndProbe(zone, some) {
+	if !m.zones.EndProbe(zone, reachable) {
 		return
 	}
 	metric.UnreachableZones.Inc()
-	left := d.abandonAll(zone)
-	d.g.log.WithField("zone", zone).WithField("looked_at", len(targets)).WithField("told_by", from).WithField("attempts_left", left).Warn("zone is silent")
-	if from == "" {
-		d.reportZone(zone, d.g.settings().Name, "")
+	abandoned := m.abandonAll(zone)
+	m.g.log.WithField("zone", zone).WithField("looked_at", len(targets)).WithField("told_by", foundBy).WithField("attempts_left", abandoned).Warn("zone is silent")
+	if foundBy == "" {
+		m.reportZone(zone, m.g.settings().Name, "")
 	}
-	d.awaitRecovery(zone)
+	m.awaitRecovery(zone)
 }
 
-// awaitRecovery looks at a dark zone until something answers there.
-func (d *zoneMonitor) awaitRecovery(zone string) {
-	began := d.g.now()
-	for wait.For(d.g.ctx, wait.Jitter(zoneProbeInterval)) {
-		targets := d.g.view.Load().targetsInZone(zone)
-		if len(targets) >= minZoneTargets && !d.probeTarget(targets[rand.IntN(len(targets))]) {
+// awaitRecovery probes an unreachable zone until a target there responds, or too few targets are
+// left there to judge it.
+func (m *zoneMonitor) awaitRecovery(zone string) {
+	startedAt := m.g.now()
+	for wait.For(m.g.ctx, wait.Jitter(zoneProbeInterval)) {
+		targets := m.g.view.Load().targetsInZone(zone)
+		if len(targets) >= minZoneTargets && !m.probeTarget(targets[rand.IntN(len(targets))]) {
 			continue
 		}
-		d.zones.EndProbe(zone, true)
-		d.g.log.WithField("zone", zone).WithField("after_ms", d.g.now().Sub(began).Milliseconds()).Info("zone answers again")
+		m.zones.EndProbe(zone, true)
+		m.g.log.WithField("zone", zone).WithField("after_ms", m.g.now().Sub(startedAt).Milliseconds()).Info("zone answers again")
 		return
 	}
 }
 
-// probeTarget says whether a target's machine answers a connect, if only by refusing it.
-func (d *zoneMonitor) probeTarget(t *catalog.Target) bool {
-	ctx, cancel := context.WithTimeout(d.g.ctx, zoneProbeTimeout)
+// probeTarget reports whether a target's machine responds to a connection attempt. A refusal or a
+// reset is a response.
+func (m *zoneMonitor) probeTarget(t *catalog.Target) bool {
+	ctx, cancel := context.WithTimeout(m.g.ctx, zoneProbeTimeout)
 	defer cancel()
-	conn, err := d.g.upstream.dial(ctx, "tcp", t.Address)
+	conn, err := m.g.upstream.dial(ctx, "tcp", t.Address)
 	if err == nil {
-		_ = conn.Close() // nothing was sent on it
+		_ = conn.Close() // nothing has been sent
 		return true
 	}
 	return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// UnreachableZone tells that a zone's targets do not answer an instance.
+// UnreachableZone reports that an instance gets no response from a zone's targets.
 type UnreachableZone struct {
 	Zone      string `cbor:"1,keyasint"`
-	FoundBy   string `cbor:"2,keyasint"` // who found it
-	RelayedBy string `cbor:"3,keyasint"` // who passes it on
+	FoundBy   string `cbor:"2,keyasint"` // instance that found it
+	RelayedBy string `cbor:"3,keyasint"` // instance that sent this copy
 }
 
-// UnreachableZone takes a peer's word, and passes it on once.
+// SilentZone handles a peer's report of an unreachable zone: it probes the zone, and relays the
+// report once.
 func (h *peerHandler) SilentZone(req *UnreachableZone, _ *Ack) error {
-	d := &h.g.zoneMonitor
-	if !d.zones.BeginProbe(req.Zone, h.g.now()) {
-		return nil // it is dark here too, or has just been looked at
+	m := &h.g.zoneMonitor
+	if !m.zones.BeginProbe(req.Zone, h.g.now()) {
+		return nil // known to be unreachable, or being probed, or just probed
 	}
-	h.g.spawn(func() { d.probeZone(req.Zone, req.FoundBy) })
-	d.reportZone(req.Zone, req.FoundBy, req.RelayedBy)
+	h.g.spawn(func() { m.probeZone(req.Zone, req.FoundBy) })
+	m.reportZone(req.Zone, req.FoundBy, req.RelayedBy)
 	return nil
 }
 
-// reportZone tells the neighbours, but the one who told it. A word that is lost is made good by the
-// next instance that meets the silence.
-func (d *zoneMonitor) reportZone(zone, from, but string) {
-	word := &UnreachableZone{Zone: zone, FoundBy: from, RelayedBy: d.g.settings().Name}
-	for _, n := range d.g.view.Load().Tree.neighbours() {
-		if n.Name == but {
+// reportZone reports an unreachable zone to the neighbours, except the one that sent the report.
+// Reports are not repeated: where one is lost, the next instance that gets no response from the
+// zone reports it again.
+func (m *zoneMonitor) reportZone(zone, foundBy, exclude string) {
+	report := &UnreachableZone{Zone: zone, FoundBy: foundBy, RelayedBy: m.g.settings().Name}
+	for _, n := range m.g.view.Load().Tree.neighbours() {
+		if n.Name == exclude {
 			continue
 		}
-		d.g.spawn(func() {
-			ctx, cancel := context.WithTimeout(d.g.ctx, zoneReportTimeout)
+		m.g.spawn(func() {
+			ctx, cancel := context.WithTimeout(m.g.ctx, zoneReportTimeout)
 			defer cancel()
-			_ = d.g.pool.Call(ctx, n.Address, peerService+".SilentZone", word, &Ack{})
+			_ = m.g.pool.Call(ctx, n.Address, peerService+".SilentZone", report, &Ack{})
 		})
 	}
 }
 
-// targetsInZone are the targets of a zone that are not leaving.
+// targetsInZone returns the targets in a zone that are not leaving.
 func (v *View) targetsInZone(zone string) []*catalog.Target {
 	var out []*catalog.Target
 	for _, t := range v.Targets {
@@ -181,16 +187,16 @@
 	return out
 }
 
-// unreachableZones are the zones that requests to some targets leave out. Where all that have targets
-// seem dark it is most likely this instance's own link, and none is left out.
+// unreachableZones returns the zones to exclude when choosing among targets. If all of the targets
+// are in unreachable zones, this instance's own link is the likely cause, and no zone is excluded.
 func (g *Gateway) unreachableZones(targets []*catalog.Target) map[string]bool {
-	out := g.zoneMonitor.zones.Unreachable()
-	if len(out) == 0 {
+	unreachable := g.zoneMonitor.zones.Unreachable()
+	if len(unreachable) == 0 {
 		return nil
 	}
 	for _, t := range targets {
-		if !out[t.Zone] {
-			return out
+		if !unreachable[t.Zone] {
+			return unreachable
 		}
 	}
 	return nil
