--- a/internal/gateway/control_test.go
+++ b/internal/gateway/control_test.go
@@ -11,14 +11,15 @@
 	"github.com/shedhoist/shedhoist/internal/catalog"
 )
 
-// entry is a target as its entry tells it.
+// entry returns a target as read from an entry in the object store.
 func entry(name string, revision uint64) catalog.Target {
 	return catalog.Target{Name: name, Revision: revision, Service: "s", Models: []catalog.ModelVersion{{Model: "m", Version: 1}}}.WithID()
 }
 
 var at0 = time.Unix(1000, 0)
 
-// TestNamedVersionsOutdatedFor: how long a version has been behind counts from the first newer one.
+// TestNamedVersionsOutdatedFor checks that a version counts as outdated from when the first newer
+// one was learned.
 func TestNamedVersionsOutdatedFor(t *testing.T) {
 	is := is.New(t)
 	var n NamedVersions
@@ -29,7 +30,7 @@
 	is.Equal(n.outdatedFor(3, now), time.Duration(0))
 }
 
-// TestConfigVersionNeverDecreases: an older version of the configuration changes nothing.
+// TestConfigVersionNeverDecreases checks that an older version of the configuration is ignored.
 func TestConfigVersionNeverDecreases(t *testing.T) {
 	is := is.New(t)
 	c := &controlState{log: &log.Logger{Handler: discard.Default}, now: func() time.Time { return at0 }}
@@ -39,7 +40,7 @@
 	is.Equal(c.cfg.Version, uint64(7))
 }
 
-// TestRank: instances agree on ranks, and each role has an order of its own.
+// TestRank checks that instances with the same members compute distinct ranks for a role.
 func TestRank(t *testing.T) {
 	is := is.New(t)
 	alive := []string{"a", "b", "c", "d"}
@@ -50,8 +51,8 @@
 	is.Equal(len(seen), len(alive))
 }
 
-// TestDepartedTargetStillCounts: a target that left the list counts as serving its weights for as
-// long as others may hold on to it.
+// TestDepartedTargetStillCounts checks that a target that left the list counts as serving its
+// weights for departedTTL: other instances may still use it for that long.
 func TestDepartedTargetStillCounts(t *testing.T) {
 	is := is.New(t)
 	tt := newTargetTable(&log.Logger{Handler: discard.Default}, "e")
@@ -64,8 +65,8 @@
 	is.Equal(oldestServed(v, at0.Add(departedTTL))["m"], uint64(2))
 }
 
-// TestNewProcessAssumesVersionAge: a process that starts late in a rollout does not take the
-// version it finds for a new one, and believes a peer that knows its age.
+// TestNewProcessAssumesVersionAge guards against a process that starts late in a rollout and treats
+// the version that it finds as just named. An age reported by a peer replaces the assumed one.
 func TestNewProcessAssumesVersionAge(t *testing.T) {
 	is := is.New(t)
 	now := at0
@@ -73,11 +74,11 @@
 	two := []catalog.ModelVersion{{Model: "m", Version: 2}}
 	versionsNamed{revision: 5, changed: 5, versions: two, from: fromStore}.apply(c)
 	is.Equal(c.named["m"].outdatedFor(1, now), 10*time.Second-startupVersionGrace)
-	is.Equal(len(c.versionAges()), 0) // a guess is told to nobody
+	is.Equal(len(c.versionAges()), 0) // an assumed age is not reported
 	versionAgesReceived{[]VersionAge{{Model: "m", Version: 2, AgeMS: 2000}, {Model: "other", Version: 1, AgeMS: 1}}}.apply(c)
-	is.Equal(c.named["m"].outdatedFor(1, now), 2*time.Second) // less than guessed
+	is.Equal(c.named["m"].outdatedFor(1, now), 2*time.Second) // the peer's age, less than assumed
 	versionAgesReceived{[]VersionAge{{Model: "m", Version: 2, AgeMS: 9000}}}.apply(c)
-	is.Equal(c.named["m"].outdatedFor(1, now), 2*time.Second) // known already
+	is.Equal(c.named["m"].outdatedFor(1, now), 2*time.Second) // an age that is known is not replaced
 	versionsNamed{revision: 6, changed: 6, versions: []catalog.ModelVersion{{Model: "m", Version: 3}}, from: fromStore}.apply(c)
 	is.Equal(c.named["m"].outdatedFor(2, now), time.Duration(1)) // just named
 	is.Equal(len(c.versionAges()), 2)
--- a/internal/gateway/crash_detector_test.go
+++ b/internal/gateway/crash_detector_test.go
@@ -10,19 +10,19 @@
 	"github.com/matryer/is"
 )
 
-// TestCrashedTargetsAreExcluded: an instance that has found that targets crashed sends to the
-// others, and refuses nobody because it met one crashed target after the other.
+// TestCrashedTargetsAreExcluded guards against requests that are refused because their attempts meet
+// one crashed target after another: once an instance has found the crashes, it uses other targets.
 func TestCrashedTargetsAreExcluded(t *testing.T) {
 	const targets, crashed, requests = 12, 9, 20
-	for name, runs := range map[string]int{"one request each broke": 1, "several broke": 8} {
+	for name, runs := range map[string]int{"one request in flight per target": 1, "several requests in flight per target": 8} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				f := newTrafficFleet(t, 1, 1, targets)
 				defer f.stop()
-				var under sync.WaitGroup
+				var inFlight sync.WaitGroup
 				for range runs * targets {
-					under.Go(func() { f.request(0, pathOnce, slowBody) })
+					inFlight.Go(func() { f.request(0, pathOnce, slowBody) })
 					time.Sleep(time.Millisecond)
 				}
 				time.Sleep(slowTime / 2)
@@ -30,7 +30,7 @@
 					is.True(m.busy())
 					m.crash()
 				}
-				time.Sleep(100 * time.Millisecond) // they are found
+				time.Sleep(100 * time.Millisecond) // until the crashes are detected
 				served := 0
 				for range requests {
 					if f.request(0, pathOnce, "x").status == http.StatusOK {
@@ -38,7 +38,7 @@
 					}
 				}
 				is.Equal(served, requests)
-				under.Wait()
+				inFlight.Wait()
 			})
 		})
 	}
--- a/internal/gateway/evacuations_test.go
+++ b/internal/gateway/evacuations_test.go
@@ -14,21 +14,22 @@
 	"github.com/matryer/is"
 )
 
-// Bounds of an evacuation.
+// Bounds on the time until an evacuation takes effect.
 const (
-	evacuateBound = 5 * time.Second // from the store's answer, for instances in touch
-	evacuateAim   = time.Second     // the same where nothing else is wrong
+	maxEvacuationTimeDegraded = 5 * time.Second // from the store's response, for instances that reach the store or a peer
+	maxEvacuationTime         = time.Second     // the same without other faults
 )
 
 const memoryEvacuations = "evacuations"
 
-// evacuationCodec is the dialect of a platform on which operators evacuate zones.
+// evacuationCodec is the codec of a platform on which operators can evacuate zones.
 type evacuationCodec struct{ trafficCodec }
 
-// EvacuationsKind names the kind of the objects that evacuate zones.
+// EvacuationsKind implements Codec.
 func (evacuationCodec) EvacuationsKind() string { return memoryEvacuations }
 
-// arrivalLog notes the last request that reached each zone's targets.
+// arrivalLog records the number of requests that reached each zone's targets, and when the last one
+// did.
 type arrivalLog struct {
 	mu   sync.Mutex
 	last map[string]time.Time
@@ -48,12 +49,12 @@
 	return a.last[zone], a.seen[zone]
 }
 
-// evacuatedFleet is a fleet whose operators evacuate zones, under steady requests to all
-// instances.
+// evacuatedFleet is a fleet whose operators can evacuate zones, under a constant rate of requests to
+// all instances.
 type evacuatedFleet struct {
 	*trafficFleet
 	arrivals       *arrivalLog
-	records        atomic.Int32 // instances that callers know
+	knownInstances atomic.Int32 // number of instances that callers send requests to
 	stopped        chan struct{}
 	loadGenerators sync.WaitGroup
 
@@ -61,26 +62,26 @@
 	failed int
 }
 
-// requestInterval is the pause between two requests to the fleet.
+// requestInterval is the interval of requests to the fleet.
 const requestInterval = 5 * time.Millisecond
 
 func newEvacuatedFleet(t *testing.T, n int) *evacuatedFleet {
 	a := &arrivalLog{last: map[string]time.Time{}, seen: map[string]int{}}
 	f := &evacuatedFleet{arrivals: a, stopped: make(chan struct{})}
 	f.trafficFleet = newFleetWith(t, n, 3, 9, fleetOptions{codec: evacuationCodec{}, arrived: a.record,
-		edit: func(s *Settings) { s.EvacuateWithin = evacuateBound }})
-	f.records.Store(int32(n))
+		edit: func(s *Settings) { s.EvacuateWithin = maxEvacuationTimeDegraded }})
+	f.knownInstances.Store(int32(n))
 	return f
 }
 
-// addInstance starts one more instance, which callers use at once.
+// addInstance starts one more instance, to which callers send requests at once, and returns its index.
 func (f *evacuatedFleet) addInstance() int {
 	i := f.trafficFleet.addInstance()
-	f.records.Add(1)
+	f.knownInstances.Add(1)
 	return i
 }
 
-// sendLoad sends requests to all instances in turn until the end.
+// sendLoad sends requests to all instances in turn until the fleet stops.
 func (f *evacuatedFleet) sendLoad() {
 	f.loadGenerators.Add(1)
 	go func() {
@@ -94,7 +95,7 @@
 			f.loadGenerators.Add(1)
 			go func() {
 				defer f.loadGenerators.Done()
-				if f.requestAt(fmt.Sprintf("e-%03d:1", i%int(f.records.Load())), pathSafe, fmt.Sprint("request ", i)).status != http.StatusOK {
+				if f.requestAt(fmt.Sprintf("e-%03d:1", i%int(f.knownInstances.Load())), pathSafe, fmt.Sprint("request ", i)).status != http.StatusOK {
 					f.mu.Lock()
 					defer f.mu.Unlock()
 					f.failed++
@@ -104,13 +105,14 @@
 	}()
 }
 
-// failures is how many requests were not served.
+// failures returns the number of requests of sendLoad that were not served.
 func (f *evacuatedFleet) failures() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.failed
 }
 
+// end stops the load and the fleet.
 func (f *evacuatedFleet) end() {
 	close(f.stopped)
 	f.loadGenerators.Wait()
@@ -120,36 +122,40 @@
 func (f *evacuatedFleet) evacuate(zone string) { f.store.set(memoryEvacuations, zone, struct{}{}) }
 func (f *evacuatedFleet) release(zone string)  { f.store.remove(memoryEvacuations, zone) }
 
-// TestEvacuatedZone guards against requests to an evacuated zone, and one left unused once taken back.
+// TestEvacuatedZone guards against requests that reach an evacuated zone, and against a zone that
+// stays unused after its release.
 func TestEvacuatedZone(t *testing.T) {
 	const zone = "z1"
 	cases := []struct {
-		name   string
-		n      int
-		within time.Duration
-		before func(f *evacuatedFleet) // right before the evacuation
-		after  func(f *evacuatedFleet) // right after it
+		name      string
+		instances int
+		maxDelay  time.Duration
+		before    func(f *evacuatedFleet) // right before the evacuation
+		after     func(f *evacuatedFleet) // right after it
 	}{
-		{"nothing else", 9, evacuateAim, nil, nil},
-		{"a large fleet", 60, evacuateAim, nil, nil},
-		{"the store falls silent once its watches are answered", 60, evacuateBound, nil, func(f *evacuatedFleet) {
+		{"no other fault", 9, maxEvacuationTime, nil, nil},
+		{"a large fleet", 60, maxEvacuationTime, nil, nil},
+		{"the store stops responding after it has answered the watches", 60, maxEvacuationTimeDegraded, nil, func(f *evacuatedFleet) {
 			time.Sleep(2 * memoryAnswer)
 			f.silenceStore(true)
 		}},
-		{"the store is silent to the watchers and a third more", 60, evacuateBound, func(f *evacuatedFleet) {
+		{"the store does not respond to a third of the instances, including the watchers", 60, maxEvacuationTimeDegraded, func(f *evacuatedFleet) {
 			for _, i := range f.byRank(watcherRole)[:20] {
 				f.storeClients[i].setSilent(true)
 			}
 		}, nil},
-		{"history is lost", 9, evacuateBound, nil, func(f *evacuatedFleet) { f.store.truncateHistory() }},
-		{"history of a large fleet is lost", 60, evacuateBound, nil, func(f *evacuatedFleet) { f.store.truncateHistory() }},
-		{"some are cut off for 3 s", 9, evacuateBound, func(f *evacuatedFleet) {
+		{"history is lost", 9, maxEvacuationTimeDegraded, nil, func(f *evacuatedFleet) { f.store.truncateHistory() }},
+		{"history of a large fleet is lost", 60, maxEvacuationTimeDegraded, nil, func(f *evacuatedFleet) { f.store.truncateHistory() }},
+		{"two instances are isolated for 3 s", 9, maxEvacuationTimeDegraded, func(f *evacuatedFleet) {
 			f.isolate([]int{3, 4}, true)
 			time.AfterFunc(3*time.Second, func() { f.isolate([]int{3, 4}, false) })
 		}, nil},
-		{"an instance starts meanwhile", 9, evacuateAim, nil, func(f *evacuatedFleet) { time.Sleep(evacuateAim); f.addInstance() }},
-		{"an instance starts, and only peers can tell it", 9, evacuateAim, nil, func(f *evacuatedFleet) { time.Sleep(evacuateAim); f.storeClients[f.addInstance()].setSilent(true) }},
-		{"taken back and evacuated again", 9, evacuateAim, nil, func(f *evacuatedFleet) {
+		{"an instance starts during the evacuation", 9, maxEvacuationTime, nil, func(f *evacuatedFleet) { time.Sleep(maxEvacuationTime); f.addInstance() }},
+		{"an instance without the store starts during the evacuation", 9, maxEvacuationTime, nil, func(f *evacuatedFleet) {
+			time.Sleep(maxEvacuationTime)
+			f.storeClients[f.addInstance()].setSilent(true)
+		}},
+		{"released and evacuated again, repeatedly", 9, maxEvacuationTime, nil, func(f *evacuatedFleet) {
 			for range 4 {
 				f.release(zone)
 				time.Sleep(100 * time.Millisecond)
@@ -157,20 +163,20 @@
 				time.Sleep(100 * time.Millisecond)
 			}
 		}},
-		{"its entry can't be read", 9, evacuateAim, nil, func(f *evacuatedFleet) { f.store.set(memoryEvacuations, zone, []any{1, "no object", nil}) }},
-		{"the configuration changes beside it", 60, evacuateAim, func(f *evacuatedFleet) {
+		{"its object can't be decoded", 9, maxEvacuationTime, nil, func(f *evacuatedFleet) { f.store.set(memoryEvacuations, zone, []any{1, "no object", nil}) }},
+		{"the configuration changes at the same time", 60, maxEvacuationTime, func(f *evacuatedFleet) {
 			f.store.set(memoryConfigs, memoryConfig, storedConfig{Version: 2, Keys: []string{"key"}})
 		}, func(f *evacuatedFleet) {
 			f.store.set(memoryConfigs, memoryConfig, storedConfig{Version: 3, Keys: []string{"key"}})
 		}},
-		{"all instances restart", 9, evacuateAim, nil, func(f *evacuatedFleet) { time.Sleep(evacuateAim); f.restartAll() }},
+		{"all instances restart", 9, maxEvacuationTime, nil, func(f *evacuatedFleet) { time.Sleep(maxEvacuationTime); f.restartAll() }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				f := newEvacuatedFleet(t, c.n)
+				f := newEvacuatedFleet(t, c.instances)
 				defer f.end()
 				f.sendLoad()
 				time.Sleep(time.Second)
@@ -184,24 +190,24 @@
 					c.after(f)
 				}
 				acknowledged := time.Now()
-				time.Sleep(2 * evacuateBound)
+				time.Sleep(2 * maxEvacuationTimeDegraded)
 				last, _ := f.arrivals.in(zone)
-				if late := last.Sub(acknowledged); late > c.within {
+				if late := last.Sub(acknowledged); late > c.maxDelay {
 					t.Errorf("a request reached the zone %v after its evacuation", late)
 				}
 				f.silenceStore(false)
-				time.Sleep(4 * time.Second) // calls that hang have ended
+				time.Sleep(4 * time.Second) // until calls to the unresponsive store have timed out
 				f.release(zone)
 				_, before := f.arrivals.in(zone)
-				time.Sleep(evacuateBound)
+				time.Sleep(maxEvacuationTimeDegraded)
 				_, after := f.arrivals.in(zone)
-				is.True(after > before) // it is used again
+				is.True(after > before) // the zone gets requests again
 			})
 		})
 	}
 }
 
-// TestEvacuatedUnknownZone guards against an evacuation of a zone without targets that changes anything.
+// TestEvacuatedUnknownZone guards against any effect of evacuating a zone without targets.
 func TestEvacuatedUnknownZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -218,7 +224,8 @@
 	})
 }
 
-// TestAllZonesEvacuated guards against requests that wait, or run, where all zones are evacuated.
+// TestAllZonesEvacuated guards against requests that wait, or are executed, while all zones are
+// evacuated.
 func TestAllZonesEvacuated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -227,7 +234,7 @@
 		for _, zone := range []string{"z0", "z1", "z2"} {
 			f.evacuate(zone)
 		}
-		time.Sleep(evacuateAim)
+		time.Sleep(maxEvacuationTime)
 		for i := range 6 {
 			began := time.Now()
 			a := f.request(i%3, pathOnce, "x")
@@ -237,12 +244,13 @@
 			is.True(time.Since(began) < 50*time.Millisecond)
 		}
 		f.release("z2")
-		time.Sleep(evacuateAim)
+		time.Sleep(maxEvacuationTime)
 		is.Equal(f.request(0, pathOnce, "x").status, http.StatusOK)
 	})
 }
 
-// TestEvacuatedWhileBodyArrives guards against a request with a slow body that goes by what was known at its arrival.
+// TestEvacuatedWhileBodyArrives guards against a request with a slow body whose target is chosen by
+// the zones that were evacuated when its header arrived.
 func TestEvacuatedWhileBodyArrives(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -265,12 +273,12 @@
 				is.Equal(roundTrip(conn, "b").status, http.StatusOK)
 			}()
 		}
-		time.Sleep(time.Second) // all have their heads in
+		time.Sleep(time.Second) // all headers have arrived
 		f.release("z0")
 		f.evacuate("z2")
 		acknowledged := time.Now()
 		all.Wait()
 		last, _ := f.arrivals.in("z2")
-		is.True(last.Before(acknowledged.Add(evacuateAim)))
+		is.True(last.Before(acknowledged.Add(maxEvacuationTime)))
 	})
 }
--- a/internal/gateway/unreachable_zones_test.go
+++ b/internal/gateway/unreachable_zones_test.go
@@ -9,62 +9,63 @@
 	"time"
 )
 
-// Aims once a zone is lost.
+// Objectives after the loss of a zone.
 const (
-	unreachableAim      = time.Second            // after that nothing fails that had not begun
-	maxUnreachableDelay = 400 * time.Millisecond // that an answer may take after that: a connect that fails is not waited for
+	maxDetectionTime    = time.Second            // requests that start later than that do not fail
+	maxUnreachableDelay = 400 * time.Millisecond // bound on their duration: they do not wait for a failing connection attempt
 )
 
-// asked is one request of a caller.
+// timedRequest is a request of a caller, with its duration and status.
 type timedRequest struct {
 	startedAt time.Time
 	duration  time.Duration
 	status    int
 }
 
-// record sends requests to all instances but those of a zone, in turn, for a while.
-func (f *evacuatedFleet) record(path, but string, every, during time.Duration) []timedRequest {
+// sendFor sends requests at an interval, for a duration, to all instances outside a zone in turn.
+func (f *evacuatedFleet) sendFor(path, excludedZone string, every, during time.Duration) []timedRequest {
 	var mu sync.Mutex
-	var all sync.WaitGroup
-	var out []timedRequest
-	var to []int
+	var pending sync.WaitGroup
+	var requests []timedRequest
+	var instances []int
 	for i, g := range f.gateways {
-		if g.settings().Zone != but {
-			to = append(to, i)
+		if g.settings().Zone != excludedZone {
+			instances = append(instances, i)
 		}
 	}
-	for i, began := 0, time.Now(); time.Since(began) < during; i++ {
-		all.Add(1)
+	for i, startedAt := 0, time.Now(); time.Since(startedAt) < during; i++ {
+		pending.Add(1)
 		go func() {
-			defer all.Done()
-			one := timedRequest{startedAt: time.Now()}
-			one.status = f.request(to[i%len(to)], path, fmt.Sprint("request ", i)).status
-			one.duration = time.Since(one.startedAt)
+			defer pending.Done()
+			request := timedRequest{startedAt: time.Now()}
+			request.status = f.request(instances[i%len(instances)], path, fmt.Sprint("request ", i)).status
+			request.duration = time.Since(request.startedAt)
 			mu.Lock()
 			defer mu.Unlock()
-			out = append(out, one)
+			requests = append(requests, request)
 		}()
 		time.Sleep(every)
 	}
-	all.Wait()
-	return out
+	pending.Wait()
+	return requests
 }
 
-// cutZone cuts everything in a zone off, or lets it back.
-func (f *evacuatedFleet) cutZone(zone string, yes bool) {
+// cutZone disconnects all targets and instances in a zone from the network, or reconnects them.
+func (f *evacuatedFleet) cutZone(zone string, cut bool) {
 	for _, m := range f.targets {
 		if m.zone == zone {
-			f.net.setCut(m.name, yes)
+			f.net.setCut(m.name, cut)
 		}
 	}
 	for i, g := range f.gateways {
 		if g.settings().Zone == zone {
-			f.isolate([]int{i}, yes)
+			f.isolate([]int{i}, cut)
 		}
 	}
 }
 
-// TestDarkZone guards against requests that wait or fail for a lost zone once some have met the loss.
+// TestDarkZone guards against requests that wait or fail because of a lost zone after the first ones
+// have run into the loss, and against a zone that stays unused after its return.
 func TestDarkZone(t *testing.T) {
 	const zone = "z1"
 	for _, n := range []int{9, 60} {
@@ -74,30 +75,30 @@
 				synctest.Test(t, func(t *testing.T) {
 					f := newEvacuatedFleet(t, n)
 					defer f.end()
-					f.record(path, zone, requestInterval, 2*time.Second)
+					f.sendFor(path, zone, requestInterval, 2*time.Second)
 					f.cutZone(zone, true)
 					lost := time.Now()
 					failed, slow := 0, 0
-					for _, one := range f.record(path, zone, requestInterval, 6*time.Second) {
-						if one.startedAt.Sub(lost) < unreachableAim {
+					for _, request := range f.sendFor(path, zone, requestInterval, 6*time.Second) {
+						if request.startedAt.Sub(lost) < maxDetectionTime {
 							continue
 						}
-						if one.status != http.StatusOK {
+						if request.status != http.StatusOK {
 							failed++
 						}
-						if one.duration > maxUnreachableDelay {
+						if request.duration > maxUnreachableDelay {
 							slow++
 						}
 					}
 					if failed > 0 || slow > 0 {
-						t.Errorf("of the requests that came a second after the loss, or later, %d failed and %d took more than %v", failed, slow, maxUnreachableDelay)
+						t.Errorf("of the requests that started a second or more after the loss, %d failed and %d took more than %v", failed, slow, maxUnreachableDelay)
 					}
 					f.cutZone(zone, false)
 					time.Sleep(3 * time.Second)
 					_, before := f.arrivals.in(zone)
-					f.record(path, zone, requestInterval, 2*time.Second)
+					f.sendFor(path, zone, requestInterval, 2*time.Second)
 					if _, after := f.arrivals.in(zone); after == before {
-						t.Error("the zone is not used again")
+						t.Error("no requests reach the zone after its return")
 					}
 				})
 			})
@@ -105,22 +106,24 @@
 	}
 }
 
-// TestOneUnreachableTarget guards against a zone being left out since one of its targets is silent.
+// TestOneUnreachableTarget guards against a zone being excluded because a single target there does
+// not respond.
 func TestOneUnreachableTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newEvacuatedFleet(t, 9)
 		defer f.end()
-		dark := f.targets[1]
-		f.net.setCut(dark.name, true)
-		_, before := f.arrivals.in(dark.zone)
-		f.record(pathSafe, "", requestInterval, 5*time.Second)
-		if _, after := f.arrivals.in(dark.zone); after-before < 200 {
-			t.Errorf("%d requests reached its zone", after-before)
+		unreachable := f.targets[1]
+		f.net.setCut(unreachable.name, true)
+		_, before := f.arrivals.in(unreachable.zone)
+		f.sendFor(pathSafe, "", requestInterval, 5*time.Second)
+		if _, after := f.arrivals.in(unreachable.zone); after-before < 200 {
+			t.Errorf("%d requests reached the zone of the unreachable target, want 200 or more", after-before)
 		}
 	})
 }
 
-// TestOwnLinkDown guards against an instance whose own link is cut giving up all zones.
+// TestOwnLinkDown guards against instances that lose the link to all targets and then exclude all
+// zones, also after the link is back.
 func TestOwnLinkDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newEvacuatedFleet(t, 9)
@@ -128,14 +131,14 @@
 		for _, m := range f.targets {
 			f.net.setCut(m.name, true)
 		}
-		f.record(pathSafe, "", 50*time.Millisecond, 3*time.Second)
+		f.sendFor(pathSafe, "", 50*time.Millisecond, 3*time.Second)
 		for _, m := range f.targets {
 			f.net.setCut(m.name, false)
 		}
 		time.Sleep(time.Second)
-		for _, one := range f.record(pathSafe, "", 50*time.Millisecond, 2*time.Second) {
-			if one.status != http.StatusOK {
-				t.Errorf("status %d", one.status)
+		for _, request := range f.sendFor(pathSafe, "", 50*time.Millisecond, 2*time.Second) {
+			if request.status != http.StatusOK {
+				t.Errorf("status %d after the link came back", request.status)
 			}
 		}
 	})
--- a/internal/gateway/view_build_test.go
+++ b/internal/gateway/view_build_test.go
@@ -15,16 +15,16 @@
 	"github.com/shedhoist/shedhoist/internal/platform"
 )
 
-// controlOf is the control state of one instance of a zone.
+// controlOf returns the control state of an instance in a zone.
 func controlOf(name, zone string) *controlState {
-	quiet := &log.Logger{Handler: discard.Default}
+	logger := &log.Logger{Handler: discard.Default}
 	self := member.Member{Name: name, Address: "10.0.0.1:1", Zone: zone, Incarnation: 1}
-	return &controlState{log: quiet, now: func() time.Time { return at0 }, named: map[string]NamedVersions{}, storeReachable: true,
+	return &controlState{log: logger, now: func() time.Time { return at0 }, named: map[string]NamedVersions{}, storeReachable: true,
 		members: member.New(member.DefaultParams, self, func(int) int { return 0 }),
-		targets: newTargetTable(quiet, name), cfg: catalog.NewConfig(catalog.ConfigSpec{Services: []catalog.Service{{Name: "s"}}})}
+		targets: newTargetTable(logger, name), cfg: catalog.NewConfig(catalog.ConfigSpec{Services: []catalog.Service{{Name: "s"}}})}
 }
 
-// targetsOf are n targets over some zones.
+// targetsOf returns n targets, spread evenly over a number of zones.
 func targetsOf(n, zones int) []catalog.Target {
 	out := make([]catalog.Target, n)
 	for i := range out {
@@ -34,8 +34,9 @@
 	return out
 }
 
-// TestPartsOfViewsAreShared: views share the parts whose causes did not change, a renewed entry
-// that says the same included; each cause makes its part anew.
+// TestPartsOfViewsAreShared checks that views share a snapshot while its inputs stay the same, also
+// when an entry is rewritten with the same content, and that a change of each input rebuilds the
+// snapshot.
 func TestPartsOfViewsAreShared(t *testing.T) {
 	is := is.New(t)
 	c := controlOf("a", "z0")
@@ -50,7 +51,7 @@
 
 	c.targets.ApplyWeightVersion("i-0001", catalog.ModelVersion{Model: "m", Version: 2})
 	is.Equal(c.buildView().Targets["i-0001"].WeightVersion("m"), uint64(2))
-	is.Equal(first.Targets["i-0001"].WeightVersion("m"), uint64(1)) // what was published stays
+	is.Equal(first.Targets["i-0001"].WeightVersion("m"), uint64(1)) // a published view does not change
 
 	versionsNamed{revision: 11, changed: 11, versions: []catalog.ModelVersion{{Model: "m", Version: 2}}}.apply(c)
 	is.Equal(len(c.buildView().Outdated), 2)
@@ -73,7 +74,8 @@
 	is.Equal(len(c.buildView().Alive), 2)
 }
 
-// TestCandidates guards against many, far or unevenly used candidates, and a new choice with each that leaves.
+// TestCandidates guards against candidates that are too many, in other zones without need or used
+// unevenly by instances, and against a different choice whenever one of them leaves.
 func TestCandidates(t *testing.T) {
 	is := is.New(t)
 	const zones, targets, instances = 3, 900, 120
@@ -83,16 +85,16 @@
 		c.targets.ApplyList(targets, targetsOf(targets, zones), nil, at0)
 		chosen := c.buildView().Candidates["s"]
 		is.Equal(len(chosen), maxCandidates)
-		had := map[string]bool{}
+		previous := map[string]bool{}
 		for _, x := range chosen {
 			is.Equal(x.Zone, fmt.Sprintf("z%d", i%zones))
 			uses[x.ID]++
-			had[x.ID] = true
+			previous[x.ID] = true
 		}
 		c.targets.ApplyChanges(targets+1, nil, []string{chosen[0].ID}, at0)
 		kept := 0
 		for _, x := range c.buildView().Candidates["s"] {
-			if had[x.ID] {
+			if previous[x.ID] {
 				kept++
 			}
 		}
@@ -105,7 +107,7 @@
 	is.True(len(uses) > targets*99/100)
 
 	few := controlOf("e", "z0")
-	some := targetsOf(200, 20) // ten in the zone
+	some := targetsOf(200, 20) // ten in each zone
 	few.targets.ApplyList(9, some, nil, at0)
 	near := 0
 	for _, x := range few.buildView().Candidates["s"] {
@@ -117,8 +119,8 @@
 	is.Equal(len(few.buildView().Candidates["s"]), maxCandidates)
 }
 
-// TestWidenCandidates: where too few of its candidates are fit, an instance finds fit targets among
-// all of the service: those that serve the newest weights, were not tried and do not rest.
+// TestWidenCandidates checks that an instance with too few fit candidates finds fit targets among
+// all of the service: those that serve the newest weights, were not tried and are not ejected.
 func TestWidenCandidates(t *testing.T) {
 	is := is.New(t)
 	c := controlOf("e", "z0")
@@ -134,15 +136,15 @@
 	g := &Gateway{now: func() time.Time { return at0 }, breaker: breaker.New(func() time.Time { return at0 })}
 	x := &exchange{g: g, view: v, service: "s", call: CallerRequest{Prompt: &Prompt{Model: "m"}}}
 	is.Equal(x.countFit(v.Candidates["s"], nil), 0)
-	wide := x.widenCandidates(v.Serving["s"], nil)
-	is.Equal(len(wide), maxCandidates)
-	is.Equal(x.countFit(wide, nil), 20)
+	widened := x.widenCandidates(v.Serving["s"], nil)
+	is.Equal(len(widened), maxCandidates)
+	is.Equal(x.countFit(widened, nil), 20)
 	x.triedTargets = []string{"i-0001"}
-	is.Equal(x.countFit(wide, []string{"i-0002"}), 18)
+	is.Equal(x.countFit(widened, []string{"i-0002"}), 18)
 }
 
-// TestLongTargetList: a long list is handed over by a peer only to an instance that can't ask
-// the object store; a short one, and changes, to any.
+// TestLongTargetList checks that a peer sends a long list of targets only to an instance that does
+// not reach the object store, but a short list, or changes, to any instance.
 func TestLongTargetList(t *testing.T) {
 	is := is.New(t)
 	c := controlOf("e", "z0")
--- a/internal/gateway/warmup_test.go
+++ b/internal/gateway/warmup_test.go
@@ -14,16 +14,16 @@
 	"github.com/shedhoist/shedhoist/internal/catalog"
 )
 
-// What a cold target bears.
+// Limits of a target in warm-up.
 const (
 	warmupDuration    = 3 * time.Second
 	warmupRate        = 11.0
 	warmupOverage     = 1.5
 	warmupSlack       = 5.0
-	maxWarmupRequests = warmupRate*warmupOverage + warmupSlack // requests in any second
+	maxWarmupRequests = warmupRate*warmupOverage + warmupSlack // per second, at any time
 )
 
-// warmupCodec is the dialect of a platform whose targets are cold at first.
+// warmupCodec is the codec of a platform whose targets warm up after their start.
 type warmupCodec struct{ evacuationCodec }
 
 // DecodeConfig implements Codec.
@@ -35,13 +35,13 @@
 	return cfg, err
 }
 
-// requestCounter counts requests by target in sliding seconds.
+// requestCounter counts the requests that reach targets in warm-up, in sliding windows of a second.
 type requestCounter struct {
 	mu             sync.Mutex
-	recent         map[string][]time.Time // by target
-	maxPerSecond   int
-	warmingUpUntil map[string]time.Time // until when
-	total          int                  // that reached cold targets
+	recent         map[string][]time.Time // by target: arrivals in the last second
+	maxPerSecond   int                    // at one target
+	warmingUpUntil map[string]time.Time   // by target
+	total          int
 }
 
 func (s *requestCounter) note(m *memoryTarget, _ *http.Request) {
@@ -51,35 +51,37 @@
 	if !now.Before(s.warmingUpUntil[m.name]) {
 		return
 	}
-	came := append(s.recent[m.name], now)
-	for now.Sub(came[0]) >= time.Second {
-		came = came[1:]
+	recent := append(s.recent[m.name], now)
+	for now.Sub(recent[0]) >= time.Second {
+		recent = recent[1:]
 	}
-	s.recent[m.name] = came
-	s.maxPerSecond = max(s.maxPerSecond, len(came))
+	s.recent[m.name] = recent
+	s.maxPerSecond = max(s.maxPerSecond, len(recent))
 	s.total++
 }
 
-// markWarmingUp notes that a target is cold for a time from now on.
+// markWarmingUp counts a target as warming up for a time from now on.
 func (s *requestCounter) markWarmingUp(m *memoryTarget, left time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.warmingUpUntil[m.name] = time.Now().Add(left)
 }
 
-// setWarmingUp has a target say that it is cold, as of now or of some time ago.
+// setWarmingUp stores an entry by which a target has been warming up for some time, and counts it as
+// such for the rest of its warm-up.
 func (s *requestCounter) setWarmingUp(m *memoryTarget, since time.Duration) {
 	s.markWarmingUp(m, warmupDuration-since)
 	m.mu.Lock()
-	born := m.startedAt
+	startedAt := m.startedAt
 	m.mu.Unlock()
-	m.f.store.set(memoryTargets, m.name, catalog.Target{Service: "s", Address: m.name + ":1", Zone: m.zone, Start: born, WarmupMS: (warmupDuration - since).Milliseconds()})
+	m.f.store.set(memoryTargets, m.name, catalog.Target{Service: "s", Address: m.name + ":1", Zone: m.zone, Start: startedAt, WarmupMS: (warmupDuration - since).Milliseconds()})
 }
 
-// TestCapsRequestsToWarmingUpTargets guards against more requests in a second than a cold target bears, and against none.
+// TestCapsRequestsToWarmingUpTargets guards against more requests per second than a target in warm-up
+// can handle, and against requests that fail although other targets could serve them.
 func TestCapsRequestsToWarmingUpTargets(t *testing.T) {
 	const zone = "z1"
-	turnCold := func(f *evacuatedFleet, s *requestCounter) {
+	startWarmup := func(f *evacuatedFleet, s *requestCounter) {
 		for _, m := range f.targets {
 			if m.zone == zone {
 				s.setWarmingUp(m, 0)
@@ -87,15 +89,15 @@
 		}
 	}
 	cases := []struct {
-		name string
-		n    int
-		hold time.Duration // the first moments, in which the word spreads, are not counted
-		turn func(f *evacuatedFleet, s *requestCounter)
-		ends bool // targets or instances end, and requests with them
+		name         string
+		instances    int
+		propagation  time.Duration // not counted: instances learn of the warm-up during it
+		start        func(f *evacuatedFleet, s *requestCounter)
+		mayInterrupt bool // targets or instances end, and their requests fail
 	}{
-		{"they say so", 9, 300 * time.Millisecond, turnCold, false},
-		{"in a large fleet", 60, 300 * time.Millisecond, turnCold, false},
-		{"they start again", 9, 0, func(f *evacuatedFleet, s *requestCounter) {
+		{"their entries say so", 9, 300 * time.Millisecond, startWarmup, false},
+		{"in a large fleet", 60, 300 * time.Millisecond, startWarmup, false},
+		{"they restart", 9, 0, func(f *evacuatedFleet, s *requestCounter) {
 			for _, m := range f.targets {
 				if m.zone != zone {
 					continue
@@ -110,7 +112,7 @@
 		}, true},
 		{"their zone was evacuated", 60, 0, func(f *evacuatedFleet, s *requestCounter) {
 			f.evacuate(zone)
-			time.Sleep(evacuateBound)
+			time.Sleep(maxEvacuationTimeDegraded)
 			for _, m := range f.targets {
 				if m.zone == zone {
 					s.markWarmingUp(m, warmupDuration)
@@ -118,21 +120,21 @@
 			}
 			f.release(zone)
 		}, false},
-		{"instances start meanwhile", 9, 300 * time.Millisecond, func(f *evacuatedFleet, s *requestCounter) {
+		{"instances have just started", 9, 300 * time.Millisecond, func(f *evacuatedFleet, s *requestCounter) {
 			for range 6 {
 				f.addInstance()
 			}
 			time.Sleep(200 * time.Millisecond)
-			turnCold(f, s)
+			startWarmup(f, s)
 		}, false},
-		{"instances are cut off", 9, 300 * time.Millisecond, func(f *evacuatedFleet, s *requestCounter) {
+		{"instances were isolated", 9, 300 * time.Millisecond, func(f *evacuatedFleet, s *requestCounter) {
 			f.isolate([]int{1, 2, 3, 4}, true)
 			time.Sleep(4 * time.Second)
 			f.isolate([]int{1, 2, 3, 4}, false)
-			turnCold(f, s)
+			startWarmup(f, s)
 		}, true},
 		{"all instances restart", 9, 0, func(f *evacuatedFleet, s *requestCounter) {
-			turnCold(f, s)
+			startWarmup(f, s)
 			f.restartAll()
 		}, true},
 	}
@@ -142,54 +144,57 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				s := &requestCounter{recent: map[string][]time.Time{}, warmingUpUntil: map[string]time.Time{}}
-				f := newWarmupFleet(t, c.n, s)
+				f := newWarmupFleet(t, c.instances, s)
 				defer f.end()
 				for range 4 {
 					f.sendLoad()
 				}
 				time.Sleep(6 * time.Second)
-				c.turn(f, s)
-				time.Sleep(c.hold)
+				c.start(f, s)
+				time.Sleep(c.propagation)
 				s.reset()
 				time.Sleep(warmupDuration + time.Second)
 				all, worst := s.totals()
 				if float64(worst) > maxWarmupRequests {
-					t.Errorf("%d requests in a second at a cold target, %v allowed", worst, maxWarmupRequests)
+					t.Errorf("%d requests in a second at a target in warm-up, %v allowed", worst, maxWarmupRequests)
 				}
-				t.Logf("%d requests reached cold targets, %d in the worst second", all, worst)
-				if !c.ends {
-					is.Equal(f.failures(), 0) // the others take what these can't
+				t.Logf("%d requests reached targets in warm-up, at most %d in a second at one target", all, worst)
+				if !c.mayInterrupt {
+					is.Equal(f.failures(), 0) // the other targets serve the rest
 				}
 			})
 		})
 	}
 }
 
-// totals are how many requests reached cold targets, and how many of them in the worst second.
+// totals returns how many requests reached targets in warm-up, and the most that reached one of them
+// within a second.
 func (s *requestCounter) totals() (all, worst int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.total, s.maxPerSecond
 }
 
-// reset leaves out what came so far.
+// reset discards the counts so far.
 func (s *requestCounter) reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.recent, s.maxPerSecond, s.total = map[string][]time.Time{}, 0, 0
 }
 
+// newWarmupFleet starts a fleet of n instances whose codec sets a warm-up for targets.
 func newWarmupFleet(t *testing.T, n int, s *requestCounter) *evacuatedFleet {
 	f := &evacuatedFleet{arrivals: &arrivalLog{last: map[string]time.Time{}, seen: map[string]int{}}, stopped: make(chan struct{})}
 	f.trafficFleet = newFleetWith(t, n, 3, 9, fleetOptions{codec: warmupCodec{}, arrived: s.note, edit: func(set *Settings) {
-		set.EvacuateWithin = evacuateBound
+		set.EvacuateWithin = maxEvacuationTimeDegraded
 		set.WarmupOverage, set.WarmupSlack = warmupOverage, warmupSlack
 	}})
-	f.records.Store(int32(n))
+	f.knownInstances.Store(int32(n))
 	return f
 }
 
-// TestAllTargetsWarmingUp guards against requests that wait, or run, beyond what targets bear that are all cold.
+// TestAllTargetsWarmingUp guards against requests beyond the limit of the targets that are sent, or
+// that wait, while all targets are warming up. They are refused at once, as not executed.
 func TestAllTargetsWarmingUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
