--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -22,7 +22,7 @@
 	"github.com/shedhoist/shedhoist/internal/registry"
 )
 
-// BadResponseError says why an answer can't be passed on.
+// BadResponseError reports why a target's response can't be forwarded.
 type BadResponseError struct {
 	Target string
 	Reason string
@@ -41,66 +41,66 @@
 // Unwrap returns the cause.
 func (e *BadResponseError) Unwrap() error { return e.Cause }
 
-// Times of an attempt.
 const (
-	// refusalEjectTime keeps requests away from a target that refused one: its queue is
-	// full, or it loads weights.
+	// refusalEjectTime is how long a target gets no requests after it refused one: its
+	// queue is full, or it is loading weights.
 	refusalEjectTime = 150 * time.Millisecond
-	// attemptTimeoutFactor times its latency objective is how long the first word of a
-	// repeatable request is waited for, and minAttemptTimeout at least, before it is
-	// sent elsewhere.
+	// A repeatable request is sent elsewhere if its first byte does not arrive within
+	// attemptTimeoutFactor times the route's latency objective, or minAttemptTimeout if
+	// that is longer.
 	attemptTimeoutFactor = 3
 	minAttemptTimeout    = time.Second
-	// silenceThreshold is how long a target may answer nothing before it is taken to be silent:
-	// about a latency objective, in which one that is in use answers some request.
+	// silenceThreshold is the time without any response after which a target counts as
+	// silent. It is about one latency objective: in that time a target in use responds to
+	// some request.
 	silenceThreshold = 500 * time.Millisecond
 )
 
-// attemptState is an attempt under way.
+// attemptState holds the state of an attempt in progress.
 type attemptState struct {
 	target       *catalog.Target
 	load         *inflight.Load
 	startedAt    time.Time
-	silenceTimer *time.Timer // ends the attempt if the target stays silent; nil: never
-	retryPaid    atomic.Bool // the attempt after this one is paid for from the retry budget
+	silenceTimer *time.Timer // abandons the attempt if the target stays silent; nil if it may not be
+	retryPaid    atomic.Bool // the next attempt has been charged to the retry budget
 	httpResponse *http.Response
 	response     TargetResponse
 	promptWork   promptWork
-	ticket       *placement.PendingRequest
-	promptRead   bool // the prompt no longer waits at the target
-	connObtained atomic.Bool
+	pending      *placement.PendingRequest
+	promptRead   bool        // the target has processed the prompt, or the attempt is over
+	connObtained atomic.Bool // a connection to the target is established
 }
 
-// markPromptRead says that the prompt no longer waits to be read.
-func (w *attemptState) markPromptRead() {
-	if !w.promptRead {
-		w.promptRead = true
-		w.load.PrefillTokens.Add(-int64(w.promptWork.PrefillTokens))
+// markPromptRead takes the prompt's tokens off the target's queued prefill work, once.
+func (a *attemptState) markPromptRead() {
+	if !a.promptRead {
+		a.promptRead = true
+		a.load.PrefillTokens.Add(-int64(a.promptWork.PrefillTokens))
 	}
 }
 
-// tryTarget makes one attempt at a target. All that it holds is let go when it returns:
-// closing the connection of an answer that was not read to its end makes the
+// tryTarget makes one attempt at a target and releases all its resources on return.
+// If the response was not read to its end, its connection is closed, which makes the
 // target drop the request.
 func (x *exchange) tryTarget(t *catalog.Target) attemptResult {
 	ctx, cancel := context.WithCancel(x.ctx)
 	defer cancel()
 	at := &attemptState{target: t, load: x.g.upstream.inflight.Get(t.ID), startedAt: x.g.now(), promptWork: x.promptWork}
-	leavePlace := x.releaseWarmupSlot(t)
+	releaseSlot := x.releaseWarmupSlot(t)
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn:      func(httptrace.GotConnInfo) { at.connObtained.Store(true) },
-		WroteRequest: func(httptrace.WroteRequestInfo) { leavePlace() },
+		WroteRequest: func(httptrace.WroteRequestInfo) { releaseSlot() },
 	})
 	defer x.g.zoneMonitor.trackAttempt(t.Zone, at, x.abandonUnreachable(at, cancel))()
 	at.load.Requests.Add(1)
 	defer at.load.Requests.Add(-1)
 	at.load.PrefillTokens.Add(int64(x.promptWork.PrefillTokens))
 	defer at.markPromptRead()
-	keeps := int64(x.call.memoryTokens())
-	at.load.MemoryTokens.Add(keeps)
-	defer at.load.MemoryTokens.Add(-keeps)
-	at.ticket = x.g.beginTicket(t.ID, at.promptWork.PrefillWork, at.startedAt)
-	defer x.g.dropTicket(at.ticket)
+	memoryTokens := int64(x.call.memoryTokens())
+	at.load.MemoryTokens.Add(memoryTokens)
+	defer at.load.MemoryTokens.Add(-memoryTokens)
+	at.pending = x.g.addPending(t.ID, at.promptWork.PrefillWork, at.startedAt)
+	defer x.g.removePending(at.pending)
 	x.triedTargets, x.lastZone, x.notice = append(x.triedTargets, t.ID), t.Zone, Notice{}
 	if x.mayAbandon() {
 		at.silenceTimer = time.AfterFunc(x.attemptTimeout(), func() { x.abandon(at, cancel) })
@@ -111,7 +111,7 @@
 	at.load.Responses.RecordRequest(at.startedAt)
 	resp, way, err := x.g.upstream.send(ctx, out)
 	x.g.cache.endSave(x.plan.pendingSave, saveResultOf(way, err, ctx.Err() != nil))
-	leavePlace()
+	releaseSlot()
 	if err != nil && ctx.Err() != nil {
 		at.load.Responses.RecordAbandoned(at.startedAt, x.g.now(), silenceThreshold)
 	} else {
@@ -120,10 +120,10 @@
 	if errors.Is(err, syscall.ETIMEDOUT) {
 		x.g.zoneMonitor.connectSlow(t)
 	}
-	end := attemptResult{cause: err, event: attempt.FailedBeforeResponse, connBroken: way.Sent}
+	result := attemptResult{cause: err, event: attempt.FailedBeforeResponse, connBroken: way.Sent}
 	switch {
 	case err != nil && !way.Sent:
-		end.event = attempt.NotSent
+		result.event = attempt.NotSent
 	case err == nil:
 		defer resp.Body.Close()
 		at.httpResponse, at.response = resp, x.g.codec.ParseResponse(resp.StatusCode, resp.Header)
@@ -132,59 +132,60 @@
 			x.notice = at.response.Notice
 			x.g.applyNotice(t, x.notice, registry.Source{Channel: string(fromAnswer), Reporter: x.call.ID, RequestSent: at.startedAt})
 		}
-		end = x.handleResponse(at)
+		result = x.handleResponse(at)
 	}
-	if !end.delivered {
-		end.event = x.attributeEnd(end.event)
+	if !result.delivered {
+		result.event = x.attributeEnd(result.event)
 	}
-	x.noteNewConnRetry(t, way, end, ctx.Err() == nil)
-	end.retryPaid = at.retryPaid.Load()
-	x.recordHealth(at, end)
-	if end.connBroken && (end.event == attempt.FailedBeforeResponse || end.event == attempt.FailedMidResponse) {
+	x.noteNewConnRetry(t, way, result, ctx.Err() == nil)
+	result.retryPaid = at.retryPaid.Load()
+	x.recordHealth(at, result)
+	if result.connBroken && (result.event == attempt.FailedBeforeResponse || result.event == attempt.FailedMidResponse) {
 		x.g.crashDetector.connBroken(t, x.asInterrupted())
 	}
-	return end
+	return result
 }
 
-// saveResultOf says how a request that asks for saves ended.
-func saveResultOf(way netx.Way, err error, left bool) saveResult {
+// saveResultOf returns the result of the saves that a request asked its target for.
+func saveResultOf(way netx.Way, err error, abandoned bool) saveResult {
 	switch {
 	case err != nil && !way.Sent:
 		return saveNotSent
-	case left || errors.Is(err, syscall.ETIMEDOUT):
+	case abandoned || errors.Is(err, syscall.ETIMEDOUT):
 		return saveAbandoned
 	}
-	return saveAnswered // or the target closed the connection, and works on it no more
+	return saveAnswered // also if the target closed the connection: it no longer works on the request
 }
 
-// noteNewConnRetry lets a request go to the same target by a new connection, if it failed on a kept
-// one that had ended, or on which the answer to another request lay: that says nothing of
-// the target.
-func (x *exchange) noteNewConnRetry(t *catalog.Target, way netx.Way, end attemptResult, inTime bool) {
+// noteNewConnRetry allows a retry at the same target over a new connection if the attempt
+// failed on a reused connection that had been closed, or that held the response to another
+// request: such a failure says nothing about the target. active is false if the attempt's
+// context has ended, which then is the cause.
+func (x *exchange) noteNewConnRetry(t *catalog.Target, way netx.Way, result attemptResult, active bool) {
 	x.newConnTarget = ""
-	if way.Kept && inTime && (end.event == attempt.FailedBeforeResponse || end.event == attempt.Mismatched) {
+	if way.Kept && active && (result.event == attempt.FailedBeforeResponse || result.event == attempt.Mismatched) {
 		x.newConnTarget = t.ID
 	}
 }
 
-// isExcluded says whether a target is not to be tried any more.
+// isExcluded reports whether the request may not be sent to a target again.
 func (x *exchange) isExcluded(t *catalog.Target) bool {
 	return slices.Contains(x.triedTargets, t.ID) && t.ID != x.newConnTarget
 }
 
+// asInterrupted returns the request in the form that the crash detector records.
 func (x *exchange) asInterrupted() interruptedRequest {
 	return interruptedRequest{id: x.call.ID, key: x.quarantineKey(), customer: x.customerName(), route: x.route.Name}
 }
 
-// mayAbandon says whether the request may go on elsewhere if its target stays silent. A
-// last attempt is left to come for as long as the caller waits: a target that has more
-// to read than it can is silent for seconds, and its answer is worth more than none.
+// mayAbandon reports whether the request may be sent elsewhere if its target stays silent.
+// The last attempt is never abandoned before the deadline: a target with a long prefill
+// queue is silent for seconds, and a late response is better than none.
 func (x *exchange) mayAbandon() bool {
 	return x.route.Repeatable() && x.possibleRuns+1 < x.route.MaxAttempts
 }
 
-// abandon ends an attempt at a silent target, if the attempt that would follow can be paid
-// for.
+// abandon ends an attempt at a silent target if the retry budget allows another attempt.
 func (x *exchange) abandon(at *attemptState, cancel context.CancelFunc) {
 	if !x.g.retryBudgets.spendRetry(x.service) {
 		return
@@ -193,30 +194,31 @@
 	cancel()
 }
 
-// abandonUnreachable returns what ends an attempt whose target's zone turns out to be silent: one that
-// was not sent goes elsewhere, and so does one that may run again.
+// abandonUnreachable returns the function to call when the target's zone is found
+// unreachable. It ends the attempt if there is no connection yet, so that nothing was sent,
+// or if the attempt may be abandoned.
 func (x *exchange) abandonUnreachable(at *attemptState, cancel context.CancelFunc) func() {
-	mayLeave := x.mayAbandon()
+	mayAbandon := x.mayAbandon()
 	return func() {
 		switch {
 		case !at.connObtained.Load():
 			cancel()
-		case mayLeave:
+		case mayAbandon:
 			x.abandon(at, cancel)
 		}
 	}
 }
 
-// attemptTimeout is the longest wait for the first word of a repeatable request.
+// attemptTimeout returns the longest wait for the first byte of a repeatable request.
 func (x *exchange) attemptTimeout() time.Duration {
 	return max(attemptTimeoutFactor*x.route.LatencyObjective, minAttemptTimeout)
 }
 
-// attributeEnd lets the end of the request's own time, or of its caller, go before
-// what the connection reports of it. Nothing sent stays nothing sent.
-func (x *exchange) attributeEnd(ev attempt.Event) attempt.Event {
-	if ev == attempt.NotSent || ev == attempt.Refused {
-		return ev
+// attributeEnd returns CallerGone or TimedOut if the request's context has ended, since
+// the connection's error then only follows from that. NotSent and Refused stay as they are.
+func (x *exchange) attributeEnd(event attempt.Event) attempt.Event {
+	if event == attempt.NotSent || event == attempt.Refused {
+		return event
 	}
 	switch {
 	case errors.Is(x.ctx.Err(), context.Canceled):
@@ -224,7 +226,7 @@
 	case errors.Is(x.ctx.Err(), context.DeadlineExceeded):
 		return attempt.TimedOut
 	}
-	return ev
+	return event
 }
 
 // buildRequest builds the request to a target.
@@ -241,49 +243,51 @@
 		header: x.g.codec.ForwardHeader(x.r.Header, a), body: x.body, reuseConn: t.ID != x.newConnTarget && x.mayReuseConn()}
 }
 
-// mayReuseConn says whether the request may go over a kept connection. One that may run only
-// once is lost if its target closes the connection at that very moment, since it may have
-// run then; it is not sent again. For prompts the risk is small beside what a new
-// connection takes of a target's time each time: 1 ms, and a slot meanwhile.
+// mayReuseConn reports whether the request may use a keep-alive connection. If the target
+// closes the connection at that moment, a request that may run only once fails: it may
+// have run, so it is not retried. For prompts this risk is small compared with the cost of
+// a new connection, which takes 1 ms of the target's time, and a slot meanwhile.
 func (x *exchange) mayReuseConn() bool {
 	return x.route.Repeatable() || (x.call.Prompt != nil && x.g.settings().Policy.StreamConnReuse)
 }
 
-// handleResponse reads an answer and passes it on as far as it may be.
+// handleResponse checks a target's response and forwards it to the caller if it is valid.
 func (x *exchange) handleResponse(at *attemptState) attemptResult {
-	bad := func(ev attempt.Event, reason string, cause error) attemptResult {
-		return attemptResult{event: ev, cause: &BadResponseError{Target: at.target.ID, Reason: reason, Cause: cause}}
+	failed := func(event attempt.Event, reason string, cause error) attemptResult {
+		return attemptResult{event: event, cause: &BadResponseError{Target: at.target.ID, Reason: reason, Cause: cause}}
 	}
-	a, status := at.response, at.httpResponse.StatusCode
-	if !x.matchesResponse(a) {
+	resp, status := at.response, at.httpResponse.StatusCode
+	if !x.matchesResponse(resp) {
 		metric.MismatchedResponses.Inc()
-		return bad(attempt.Mismatched, "answer to request "+strconv.Quote(a.ID), nil)
+		return failed(attempt.Mismatched, "response belongs to request "+strconv.Quote(resp.ID), nil)
 	}
-	if a.NotExecuted {
-		return attemptResult{event: attempt.Refused, retryAfter: min(a.RetryAfter, maxRetryAfter),
+	if resp.NotExecuted {
+		return attemptResult{event: attempt.Refused, retryAfter: min(resp.RetryAfter, maxRetryAfter),
 			cause: &BadResponseError{Target: at.target.ID, Reason: "refused with status " + strconv.Itoa(status)}}
 	}
 	x.learnWeightVersion(at)
 	success := isSuccess(status)
 	switch {
-	case a.Encoded:
-		return bad(attempt.FailedMidResponse, "answer with an encoded body", nil)
-	case success && !a.Signed:
-		return bad(attempt.FailedMidResponse, "success that the target does not vouch for", nil)
+	case resp.Encoded:
+		return failed(attempt.FailedMidResponse, "response body has a content encoding", nil)
+	case success && !resp.Signed:
+		return failed(attempt.FailedMidResponse, "successful response is not signed", nil)
 	case success && x.route.Kind == catalog.Streaming:
 		return x.relayStream(at)
 	}
 	return x.relayBuffered(at)
 }
 
-// matchesResponse says whether an answer belongs to the request; one that refuses it need not say so.
-func (x *exchange) matchesResponse(a TargetResponse) bool {
-	return a.ID == x.call.ID || a.ID == "" && a.NotExecuted
+// matchesResponse reports whether a response belongs to the request. A refusal may omit
+// the request's id.
+func (x *exchange) matchesResponse(resp TargetResponse) bool {
+	return resp.ID == x.call.ID || resp.ID == "" && resp.NotExecuted
 }
 
 func isSuccess(status int) bool { return status >= 200 && status < 300 }
 
-// learnWeightVersion notes the weights that the target's answer was made with.
+// learnWeightVersion records the weight version that the response was generated with, if
+// it is newer than the one known of the target.
 func (x *exchange) learnWeightVersion(at *attemptState) {
 	p := x.call.Prompt
 	if p == nil || at.response.WeightVersion <= at.target.WeightVersion(p.Model) {
@@ -292,58 +296,59 @@
 	x.g.sendEvent(targetWeightsObserved{id: at.target.ID, serves: catalog.ModelVersion{Model: p.Model, Version: at.response.WeightVersion}})
 }
 
-// maxBufferedResponse is the largest answer that is read whole before it is passed on,
-// in bytes; of a larger one, a failure midway cuts the caller's connection.
+// maxBufferedResponse is the size in bytes up to which a response is buffered before it is
+// forwarded. If a larger one fails midway, the caller's connection is closed.
 const maxBufferedResponse = 1 << 20
 
-// relayBuffered passes on an answer that is not a stream, once it is there in full.
+// relayBuffered forwards a response that is not a stream after it has been read completely.
 func (x *exchange) relayBuffered(at *attemptState) attemptResult {
 	data, err := io.ReadAll(io.LimitReader(at.httpResponse.Body, maxBufferedResponse+1))
 	if err != nil {
-		return attemptResult{event: attempt.FailedMidResponse, connBroken: true, cause: &BadResponseError{Target: at.target.ID, Reason: "answer is not whole", Cause: err}}
+		return attemptResult{event: attempt.FailedMidResponse, connBroken: true, cause: &BadResponseError{Target: at.target.ID, Reason: "response body is incomplete", Cause: err}}
 	}
 	x.recordFirstByte(at)
 	status := at.httpResponse.StatusCode
-	spare := &bufferedResponse{status: status, header: at.httpResponse.Header, body: data}
+	buffered := &bufferedResponse{status: status, header: at.httpResponse.Header, body: data}
 	if len(data) > maxBufferedResponse {
-		return x.relayLarge(at, spare)
+		return x.relayLarge(at, buffered)
 	}
 	if status >= http.StatusInternalServerError && x.route.Repeatable() && !x.headerSent {
-		x.fallback = spare
+		x.fallback = buffered
 		return attemptResult{event: attempt.FailedMidResponse, cause: &BadResponseError{Target: at.target.ID, Reason: "failed with status " + strconv.Itoa(status)}}
 	}
-	if x.headerSent { // it was to continue a stream
-		return attemptResult{event: attempt.FailedMidResponse, cause: &BadResponseError{Target: at.target.ID, Reason: "no continuation, status " + strconv.Itoa(status)}}
+	if x.headerSent { // the attempt was to resume a stream
+		return attemptResult{event: attempt.FailedMidResponse, cause: &BadResponseError{Target: at.target.ID, Reason: "stream was not resumed, status " + strconv.Itoa(status)}}
 	}
-	spare.deliver(x)
+	buffered.deliver(x)
 	return attemptResult{delivered: true, status: status}
 }
 
-// relayLarge passes on an answer piece by piece.
+// relayLarge forwards a response larger than maxBufferedResponse as it arrives. head holds
+// what was read of it so far.
 func (x *exchange) relayLarge(at *attemptState, head *bufferedResponse) attemptResult {
 	x.writeHeader(head.status, head.header, at.httpResponse.ContentLength)
 	if _, err := x.w.Write(head.body); err != nil {
 		return attemptResult{event: attempt.CallerGone, cause: err}
 	}
 	if _, err := io.Copy(x.w, at.httpResponse.Body); err != nil {
-		return attemptResult{event: attempt.FailedMidResponse, connBroken: true, cause: &BadResponseError{Target: at.target.ID, Reason: "answer is not whole", Cause: err}}
+		return attemptResult{event: attempt.FailedMidResponse, connBroken: true, cause: &BadResponseError{Target: at.target.ID, Reason: "response body is incomplete", Cause: err}}
 	}
 	return attemptResult{delivered: true, status: head.status}
 }
 
-// bufferedResponse is a target's whole answer, held.
+// bufferedResponse is a target's response, held in memory.
 type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-func (s *bufferedResponse) deliver(x *exchange) {
-	x.writeHeader(s.status, s.header, int64(len(s.body)))
-	_, _ = x.w.Write(s.body) // a caller that is gone needs no answer
+func (b *bufferedResponse) deliver(x *exchange) {
+	x.writeHeader(b.status, b.header, int64(len(b.body)))
+	_, _ = x.w.Write(b.body) // fails only if the caller is gone
 }
 
-// writeHeader passes on a target's status and header. length -1 is not known.
+// writeHeader forwards a target's status and header. length is -1 if it is not known.
 func (x *exchange) writeHeader(status int, from http.Header, length int64) {
 	x.headerSent = true
 	h := x.w.Header()
@@ -351,7 +356,7 @@
 		h[name] = values
 	}
 	if _, ok := h["Content-Type"]; !ok {
-		h["Content-Type"] = nil // or net/http would guess one
+		h["Content-Type"] = nil // keeps net/http from guessing one
 	}
 	h.Del("Content-Length")
 	if length >= 0 {
@@ -360,32 +365,33 @@
 	x.w.WriteHeader(status)
 }
 
-// recordFirstByte notes how long the target took to its first word.
+// recordFirstByte records the target's time to first byte and the error of its prediction.
 func (x *exchange) recordFirstByte(at *attemptState) {
 	if at.silenceTimer != nil {
 		at.silenceTimer.Stop()
 	}
 	at.markPromptRead()
 	x.g.predictorMu.Lock()
-	surprise := x.g.predictor.Observe(at.ticket, x.g.now())
+	predictionErrorMS := x.g.predictor.Observe(at.pending, x.g.now())
 	x.g.predictorMu.Unlock()
-	metric.PredictionError.Update(math.Abs(surprise) / 1000)
+	metric.PredictionError.Update(math.Abs(predictionErrorMS) / 1000)
 	if x.firstByteMS == 0 {
 		x.firstByteMS = x.elapsedMS()
 		metric.FirstToken.Update(x.firstByteMS / 1000)
 	}
 }
 
-// recordHealth counts an attempt for or against its target. What the caller did, or its
-// time, is no sign of the target's health; silence until the end of that time is.
-func (x *exchange) recordHealth(at *attemptState, end attemptResult) {
+// recordHealth reports an attempt's result to the target's circuit breaker. A caller that
+// went away says nothing about the target; a target that was silent until the deadline
+// counts as failed.
+func (x *exchange) recordHealth(at *attemptState, result attemptResult) {
 	id := at.target.ID
 	switch {
-	case end.delivered:
+	case result.delivered:
 		x.g.breaker.RecordResult(id, true)
-	case end.event == attempt.Refused:
+	case result.event == attempt.Refused:
 		x.g.breaker.Eject(id, refusalEjectTime)
-	case end.event == attempt.CallerGone:
+	case result.event == attempt.CallerGone:
 	default:
 		x.g.breaker.RecordResult(id, false)
 	}
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -16,8 +16,8 @@
 	"github.com/shedhoist/shedhoist/internal/problem"
 )
 
-// exchange is one request from its arrival to its final answer. It belongs to
-// one goroutine.
+// exchange holds the state of one request from its arrival to its final response.
+// It is used by one goroutine only.
 type exchange struct {
 	g       *Gateway
 	w       http.ResponseWriter
@@ -27,50 +27,50 @@
 
 	call     CallerRequest
 	route    *catalog.Route
-	customer *catalog.Customer // nil: the route is public
+	customer *catalog.Customer // nil if the route is public
 	body     []byte
 	service  string
 
 	ctx          context.Context
 	deadline     time.Time
 	machine      *attempt.Request
-	possibleRuns int // attempts that may have run
-	failedDials  int // attempts of which nothing was sent
-	refusals     int // attempts that the target refused without running
+	possibleRuns int // attempts that a target may have executed
+	failedDials  int // attempts that failed before anything was sent
+	refusals     int // attempts that a target refused without executing them
 
-	headerSent    bool   // the caller has the header of an answer
-	lastEventID   string // id of the last event that the caller has
+	headerSent    bool   // the response header has been sent to the caller
+	lastEventID   string // id of the last event sent to the caller
 	firstByteMS   float64
-	triedTargets  []string                // ids of those tried
-	notice        Notice                  // of the last one
-	newConnTarget string                  // of these, one that may be tried again by a new connection
-	lastZone      string                  // zone of the last one
-	partSources   map[uint64][]partSource // where the prompt's parts are, by weight version, as of this attempt
-	promptWork    promptWork              // what the attempt asks of its target
+	triedTargets  []string                // ids, in the order of the attempts
+	notice        Notice                  // from the last attempt's response
+	newConnTarget string                  // id of a tried target that may be retried over a new connection
+	lastZone      string                  // zone of the last tried target
+	partSources   map[uint64][]partSource // stores that hold the prompt's parts, by weight version, as of this attempt
+	promptWork    promptWork              // prefill and fetch work of the attempt
 	plan          cachePlan
 
 	keyCache         *quarantine.Key      // see quarantineKey
-	unreachableZones map[string]bool      // zones that are silent, as of this attempt
-	backoffUntil     map[string]time.Time // ends of the rests that targets ask for, as of this attempt
-	warmupSlotHeld   bool                 // it holds a place at a cold target, see warmup.go
-	isTrial          bool                 // it is let through to try whether its quarantine is right
-	quarantineState  *quarantine.State    // what it was rejected for
-	decision         placement.Decision   // the one that refused the request
-	predictedMS      float64
-	fallback         *bufferedResponse // a failure of a target's own, delivered if nothing better comes
+	unreachableZones map[string]bool      // as of this attempt
+	backoffUntil     map[string]time.Time // end of the backoff that each target requested, as of this attempt
+	warmupSlotHeld   bool                 // it holds a slot at a target that is warming up, see warmup.go
+	isTrial          bool                 // a quarantined request, let through to see whether it still crashes its target
+	quarantineState  *quarantine.State    // set if the request was refused as quarantined
+	decision         placement.Decision   // the decision that refused the request
+	predictedMS      float64              // predicted time to the first byte
+	fallback         *bufferedResponse    // a target's error response, delivered if no attempt succeeds
 	finished         bool
 }
 
-// Bounds of one request's attempts beyond those that may have run, which its
-// route bounds.
+// Limits on attempts that were not executed. The route limits those that may have been.
 const (
 	maxFailedDials = 3
 	maxRefusals    = 2
-	// minTimeLeft is the time below which another attempt is not worth a target's work.
+	// minTimeLeft is the time before the deadline below which no further attempt is made:
+	// it would use a target for a response that comes too late.
 	minTimeLeft = 30 * time.Millisecond
 )
 
-// run sends the request to targets until it has its final answer.
+// run makes attempts until the request has its final response.
 func (x *exchange) run() {
 	x.service = pickBackend(x.route.Backends, rand.IntN)
 	ctx, cancel := context.WithDeadline(x.r.Context(), x.deadline)
@@ -79,11 +79,11 @@
 	x.machine = attempt.New(x.route.Repeatable(), x.route.Resumable, maxFailedDials+maxRefusals+x.route.MaxAttempts+1)
 	x.g.retryBudgets.creditRequest(x.service)
 	for {
-		if s, yes := x.checkQuarantine(); yes {
+		if s, rejected := x.checkQuarantine(); rejected {
 			x.refuseQuarantined(s)
 			return
 		}
-		x.view = x.g.view.Load() // time has passed since it came, or since the last attempt
+		x.view = x.g.view.Load() // may have changed since arrival or the last attempt
 		t, d := x.chooseTarget()
 		switch d.Action {
 		case placement.Refuse:
@@ -93,26 +93,27 @@
 			x.refuseNoTarget(d)
 			return
 		}
-		end := x.tryTarget(t)
-		if end.delivered {
+		result := x.tryTarget(t)
+		if result.delivered {
 			x.machine.Step(attempt.Done, nil)
-			if isSuccess(end.status) {
+			if isSuccess(result.status) {
 				x.g.recordSuccess(x)
 			}
-			x.finish(end.status, outcomeDone, "")
+			x.finish(result.status, outcomeDone, "")
 			return
 		}
-		if !x.retryOrFail(end) {
+		if !x.retryOrFail(result) {
 			return
 		}
-		x.partSources = nil // what the stores hold may have changed since
+		x.partSources = nil // the stores' contents may have changed
 	}
 }
 
-// defaultTimeout bounds a request where neither route nor caller does.
+// defaultTimeout applies where neither the route nor the caller sets a timeout.
 const defaultTimeout = 30 * time.Second
 
-// timeout is the longest time from the request's arrival to the end of its answer.
+// timeout returns the longest time from the request's arrival to the end of its
+// response: the shorter of the route's and the caller's.
 func (x *exchange) timeout() time.Duration {
 	timeout := x.route.Timeout
 	if x.call.Timeout > 0 && (timeout <= 0 || x.call.Timeout < timeout) {
@@ -124,7 +125,7 @@
 	return timeout
 }
 
-// pickBackend draws a service by weight.
+// pickBackend returns a random service, each with a probability in proportion to its weight.
 func pickBackend(backends []catalog.Backend, intN func(int) int) string {
 	sum := 0
 	for _, b := range backends {
@@ -142,21 +143,21 @@
 	return backends[len(backends)-1].Service
 }
 
-// attemptResult is how one attempt ended.
+// attemptResult describes how one attempt ended.
 type attemptResult struct {
-	delivered  bool // the caller has the whole answer
+	delivered  bool // the caller has the complete response
 	status     int
-	event      attempt.Event // if it was not delivered
+	event      attempt.Event // set if it was not delivered
 	cause      error
 	retryAfter time.Duration
-	retryPaid  bool // another attempt is paid for already
+	retryPaid  bool // the next attempt has been charged to the retry budget
 	connBroken bool // the connection to the target broke
 }
 
-// retryOrFail decides what follows an attempt that delivered nothing whole. It returns
-// false if the request has ended.
-func (x *exchange) retryOrFail(end attemptResult) bool {
-	switch end.event {
+// retryOrFail decides what follows an attempt that did not deliver a complete response.
+// It returns false if the request has ended.
+func (x *exchange) retryOrFail(result attemptResult) bool {
+	switch result.event {
 	case attempt.NotSent:
 		x.failedDials++
 	case attempt.Refused:
@@ -165,36 +166,36 @@
 		x.possibleRuns++
 	}
 	if errors.Is(x.r.Context().Err(), context.Canceled) {
-		end.event = attempt.CallerGone // whatever the attempt met since
+		result.event = attempt.CallerGone // takes precedence over the attempt's own error
 	}
-	v := x.machine.Step(end.event, func() bool { return x.mayRetry(end) })
+	v := x.machine.Step(result.event, func() bool { return x.mayRetry(result) })
 	if v.Action != attempt.Fail {
 		metric.Retries.Inc()
-		x.logFailedAttempt(end, v.Action.String())
+		x.logFailedAttempt(result, v.Action.String())
 		return true
 	}
-	x.logFailedAttempt(end, "end")
-	x.fail(v, end)
+	x.logFailedAttempt(result, "end")
+	x.fail(v, result)
 	return false
 }
 
-// mayRetry says whether the route, the time and the budget leave another attempt.
-func (x *exchange) mayRetry(end attemptResult) bool {
-	if x.deadline.Sub(x.g.now()) < minTimeLeft || x.isTrial && end.event != attempt.NotSent {
+// mayRetry reports whether the route, the deadline and the retry budget allow another attempt.
+func (x *exchange) mayRetry(result attemptResult) bool {
+	if x.deadline.Sub(x.g.now()) < minTimeLeft || x.isTrial && result.event != attempt.NotSent {
 		return false
 	}
-	switch end.event {
+	switch result.event {
 	case attempt.NotSent:
-		return x.failedDials <= maxFailedDials // it reached no target, and so costs no budget
+		return x.failedDials <= maxFailedDials // no target was reached, so the budget is not charged
 	case attempt.Refused:
 		return x.refusals <= maxRefusals && x.g.retryBudgets.spendRetry(x.service)
 	}
-	return x.possibleRuns < x.route.MaxAttempts && (end.retryPaid || x.g.retryBudgets.spendRetry(x.service))
+	return x.possibleRuns < x.route.MaxAttempts && (result.retryPaid || x.g.retryBudgets.spendRetry(x.service))
 }
 
-// fail ends the request: with a target's own failure if there is one, else
-// with an answer of our own, or with a cut if an answer has begun.
-func (x *exchange) fail(v attempt.Verdict, end attemptResult) {
+// fail ends the request: with the fallback response if there is one, otherwise with a
+// problem response, or by closing the connection if a response has begun.
+func (x *exchange) fail(v attempt.Verdict, result attemptResult) {
 	x.endTrial()
 	if errors.Is(x.r.Context().Err(), context.Canceled) {
 		x.finish(0, string(problem.CallerGone), "")
@@ -202,7 +203,7 @@
 	}
 	if x.headerSent {
 		x.finish(0, "cut", string(v.Kind))
-		panic(http.ErrAbortHandler) // the answer can't be completed: it must not look whole
+		panic(http.ErrAbortHandler) // a truncated response must not look complete
 	}
 	if x.fallback != nil {
 		x.fallback.deliver(x)
@@ -211,17 +212,17 @@
 	}
 	p := &problem.Problem{Kind: v.Kind, Execution: v.Execution, Detail: problem.Detail(v.Kind)}
 	if v.Execution == problem.NotRun {
-		p.RetryAfter = max(end.retryAfter, retryAfterShort)
+		p.RetryAfter = max(result.retryAfter, retryAfterShort)
 	}
 	x.refuse(p)
 }
 
-// logFailedAttempt writes one line for an attempt that did not deliver.
-func (x *exchange) logFailedAttempt(end attemptResult, next string) {
-	e := x.g.log.WithField("request", x.call.ID).WithField("target", x.triedTargets[len(x.triedTargets)-1]).WithField("ended", end.event.String()).
+// logFailedAttempt logs an attempt that did not deliver, and what follows it.
+func (x *exchange) logFailedAttempt(result attemptResult, next string) {
+	e := x.g.log.WithField("request", x.call.ID).WithField("target", x.triedTargets[len(x.triedTargets)-1]).WithField("ended", result.event.String()).
 		WithField("next", next).WithField("age_ms", x.elapsedMS()).WithField("key", x.quarantineKey().String())
-	if end.cause != nil {
-		e = e.WithError(end.cause)
+	if result.cause != nil {
+		e = e.WithError(result.cause)
 	}
 	if x.notice.Backoff > 0 {
 		e = e.WithField("rest_ms", x.notice.Backoff.Milliseconds())
@@ -232,7 +233,8 @@
 	e.Info("attempt failed")
 }
 
-// quarantineKey is the key that the request shares with those that do the same to a target.
+// quarantineKey returns the key that the request shares with equivalent ones, which are
+// quarantined together if they crash targets.
 func (x *exchange) quarantineKey() quarantine.Key {
 	if x.keyCache == nil {
 		k := quarantine.KeyOf(quarantine.Request{Customer: x.customerName(), Method: x.r.Method, Host: x.r.Host, URI: x.r.URL.RequestURI(), Body: x.body})
@@ -241,7 +243,7 @@
 	return *x.keyCache
 }
 
-// customerName is empty where the route is public.
+// customerName returns the customer's name, or "" if the route is public.
 func (x *exchange) customerName() string {
 	if x.customer == nil {
 		return ""
@@ -253,10 +255,10 @@
 	return float64(x.g.now().Sub(x.arrived)) / float64(time.Millisecond)
 }
 
-// outcomeDone is the outcome of a request whose answer was delivered.
+// outcomeDone is the outcome of a request whose response was delivered.
 const outcomeDone = "done"
 
-// finish writes the one line of a request's end and counts it.
+// finish counts the request and logs its end, once. Of successes only a sample is logged.
 func (x *exchange) finish(status int, outcome, detail string) {
 	if x.finished {
 		return
--- a/internal/gateway/prompt.go
+++ b/internal/gateway/prompt.go
@@ -9,38 +9,40 @@
 	"github.com/shedhoist/shedhoist/internal/loadreport"
 )
 
-// partSource is where one part of a prompt is held; the zero value is nowhere.
+// partSource is the store that holds one part of a prompt; the zero value means none does.
 type partSource struct {
 	store  *catalog.CacheStore
 	tokens int
 }
 
-// promptWork is what a prompt asks of one target.
+// promptWork is the work that a prompt causes at one target.
 type promptWork struct {
 	placement.PrefillWork
 	fetch []bool // the parts to fetch
 }
 
-// cachePlan is where the parts of a prompt come from and where they are kept.
+// cachePlan tells where the parts of a prompt are fetched from and where they are saved.
 type cachePlan struct {
-	weightVersion uint64 // weight version that the plan is for
+	weightVersion uint64 // version of the weights that the plan is for
 	parts         []PartPlan
 	fetchCount    int
 	savedKeys     []cachestore.Key
-	pendingSave   *cachestore.Save // notes when what is saved is over; nil: nothing is saved
-	// targetSilentMS is how long the target had been silent if that kept saves back, else 0.
+	pendingSave   *cachestore.Save // tracks when the save ends; nil if nothing is saved
+	// targetSilentMS is how long the target had been silent if nothing is saved for that
+	// reason, else 0.
 	targetSilentMS int64
 }
 
-// lowestPriority is the least urgent value that model servers know.
+// lowestPriority is the least urgent rank that model servers accept.
 const lowestPriority = 9
 
-// cacheSalt is the text under which the prompt's parts are cached with weights of a version.
+// cacheSalt returns the salt of the cache keys of the prompt's parts for a weight version.
 func (x *exchange) cacheSalt(version uint64) string {
 	return cachestore.Salt{CacheScope: x.view.Config.CacheScope(x.customer), Model: x.call.Prompt.Model, Version: version}.String()
 }
 
-// partSourcesFor finds the prompt's parts in the stores, once for each version and attempt.
+// partSourcesFor looks up the prompt's parts in the stores, once for each weight version
+// and attempt.
 func (x *exchange) partSourcesFor(version uint64) []partSource {
 	if found, ok := x.partSources[version]; ok {
 		return found
@@ -53,41 +55,40 @@
 	return found
 }
 
-// Bounds of fetching, as shares of the route's latency objective. A fetch that is given
-// up costs most: the time that it took, and a prompt that is read again. So it is begun
-// only where it can be expected to leave much time, and then left to come, even late
-// (docs/ROUTING.md has what other bounds gave).
+// Limits on fetches, as shares of the route's latency objective. An abandoned fetch costs
+// most: the time that it took, and the prefill of the prompt. So a fetch is started only
+// if it is predicted to leave much time, and may then finish even if it is late
+// (docs/ROUTING.md compares other limits).
 const (
-	// maxFetchShare is how long a fetch may be predicted to take.
+	// maxFetchShare bounds the predicted time of a fetch.
 	maxFetchShare = 0.5
-	// fetchTimeoutShare is how long one that was begun may take before it is given up and the
-	// prompt is read. Callers wait for a first answer for 4 objectives at least.
+	// fetchTimeoutShare bounds the time of a started fetch, after which the target reads
+	// the prompt instead. Callers wait at least 4 objectives for the first byte.
 	fetchTimeoutShare = 3.0
-	// maxFetchTime bounds that for any objective: the cache stores' parts are freed, and
-	// written anew after a start, only when no fetch of them can still be under way.
+	// maxFetchTime bounds a fetch for any objective: the cache stores free their parts, and
+	// overwrite them after a restart, only when no fetch of them can still be in progress.
 	maxFetchTime = 2 * time.Second
 )
 
-// worthFetching says whether a fetch that is predicted to take ms leaves enough time for
-// the rest of the answer.
+// worthFetching reports whether a fetch that is predicted to take ms leaves enough time for
+// the rest of the response.
 func (x *exchange) worthFetching(ms float64) bool {
 	return ms <= maxFetchShare*float64(x.route.LatencyObjective)/float64(time.Millisecond)-x.elapsedMS()
 }
 
-// fetchTimeout is how much longer a fetch that is begun now may take.
+// fetchTimeout returns how long a fetch that starts now may take.
 func (x *exchange) fetchTimeout() time.Duration {
 	return min(max(time.Duration(fetchTimeoutShare*float64(x.route.LatencyObjective))-x.g.now().Sub(x.arrived), 0), maxFetchTime)
 }
 
-// promptWorkAt says what the prompt asks of a target: a part is fetched if its store
-// can be expected to deliver it in time. The first part is shared by so many
-// that targets have it: to fetch it takes no time worth counting, unless the target was
-// emptied and the link is slow. x.g.predictorMu
-// is held.
+// promptWorkAt returns the work that the prompt causes at a target. A part is fetched if
+// its store is predicted to deliver it in time. The fetch of the first part counts as taking
+// no time: so many requests share it that targets have it already, except where a target's
+// cache was emptied and its link is slow. x.g.predictorMu is held.
 func (x *exchange) promptWorkAt(t *catalog.Target, version uint64, now time.Time) promptWork {
 	p := x.call.Prompt
-	w := promptWork{PrefillWork: placement.PrefillWork{PrefillTokens: p.Tokens}, fetch: make([]bool, len(p.Parts))}
-	largest := 0.0
+	work := promptWork{PrefillWork: placement.PrefillWork{PrefillTokens: p.Tokens}, fetch: make([]bool, len(p.Parts))}
+	longestMS := 0.0
 	for i, src := range x.partSourcesFor(version) {
 		if src.store == nil {
 			continue
@@ -96,28 +97,29 @@
 		if !x.worthFetching(x.g.predictor.FetchTime(placement.PrefillWork{FetchMS: ms, Link: src.store.Address}, now)) {
 			continue
 		}
-		w.fetch[i] = true
-		w.PrefillTokens -= p.Parts[i].Tokens
+		work.fetch[i] = true
+		work.PrefillTokens -= p.Parts[i].Tokens
 		if i == 0 {
 			continue
 		}
-		w.FetchMS += ms
-		if ms > largest {
-			largest, w.Link = ms, src.store.Address
+		work.FetchMS += ms
+		if ms > longestMS {
+			longestMS, work.Link = ms, src.store.Address
 		}
 	}
-	w.PrefillTokens = max(w.PrefillTokens, 0)
-	return w
+	work.PrefillTokens = max(work.PrefillTokens, 0)
+	return work
 }
 
-// crossZoneFactor is how much longer a transfer takes between zones.
+// crossZoneFactor multiplies the time of a transfer between zones.
 const crossZoneFactor = 2.0
 
-// transferMS is the time of a transfer by the speed of its links alone.
+// transferMS returns the time of a transfer by the speed and latency of its links, without
+// queueing.
 func (x *exchange) transferMS(src partSource, t *catalog.Target) float64 {
 	svc := x.view.Config.Services[t.Service]
 	if svc == nil || svc.Engine == nil || src.store.LinkMbps <= 0 {
-		return 0 // the service is no longer declared, or its links are not
+		return 0 // the configuration no longer declares the service, or no link speed
 	}
 	e := svc.Engine
 	mbps := src.store.LinkMbps
@@ -131,17 +133,18 @@
 	return ms + float64(src.store.TransferLatency)/float64(time.Millisecond)
 }
 
-// modelAttempt says what a model server is told. The salt names the weights that
-// the target is believed to serve, and the target refuses if it serves others:
-// so cache of other weights can't be read, whatever this instance believes.
+// modelAttempt returns the parameters of an attempt at a model server. The salt includes
+// the weight version that the target is assumed to serve, and the target refuses the
+// request if it serves another: so a wrong assumption can't make it read cache of other
+// weights.
 func (x *exchange) modelAttempt(t *catalog.Target) *ModelAttempt {
 	version := t.WeightVersion(x.call.Prompt.Model)
 	salt := x.cacheSalt(version)
 	now := x.g.now()
-	silent := x.g.upstream.inflight.Get(t.ID).Responses.UnresponsiveForWithPeers(x.g.peerSilences.Since(loadreport.KeyOf(t.ID), now), now)
-	x.plan = x.g.cache.planParts(x.view.Config.Stores, salt, version, x.call.Prompt.Parts, x.partSourcesFor(version), x.promptWork.fetch, t.Zone, silent < silenceThreshold && !x.view.Draining)
-	if silent >= silenceThreshold {
-		x.plan.targetSilentMS = silent.Milliseconds()
+	silentFor := x.g.upstream.inflight.Get(t.ID).Responses.UnresponsiveForWithPeers(x.g.peerSilences.Since(loadreport.KeyOf(t.ID), now), now)
+	x.plan = x.g.cache.planParts(x.view.Config.Stores, salt, version, x.call.Prompt.Parts, x.partSourcesFor(version), x.promptWork.fetch, t.Zone, silentFor < silenceThreshold && !x.view.Draining)
+	if silentFor >= silenceThreshold {
+		x.plan.targetSilentMS = silentFor.Milliseconds()
 	}
 	x.plan.pendingSave = x.g.cache.beginSave(t.ID, x.plan.savedKeys)
 	x.logSaves(t, salt)
@@ -149,8 +152,8 @@
 		FetchUntilMS: x.g.cache.serverClockMS(x.fetchTimeout())}
 }
 
-// logSaves writes a line on what the target shall keep in which store: a save that comes
-// late can then be traced to its request.
+// logSaves logs which parts the target is to save in which stores, so that a late save can
+// be traced to its request.
 func (x *exchange) logSaves(t *catalog.Target, salt string) {
 	if len(x.plan.savedKeys) == 0 {
 		return
@@ -173,18 +176,21 @@
 }
 
 const (
-	// lateShare of the time left for the first answer, if it is predicted to take
-	// longer, makes a request wait behind those that can be in time: read first, it
-	// would make them late too. The rest is for what predictions leave out where they
-	// know little of other instances' work: 340 ms of 500 for one answer in 20.
+	// lateShare is the share of the time left until the latency objective beyond which a
+	// predicted first byte counts as late. A late request waits behind those that can meet
+	// their objective, since they would become late too if it were read first. The
+	// remaining share covers prediction errors due to unknown work of other instances: 340
+	// ms of an objective of 500 ms for one response in 20.
 	lateShare = 0.6
-	// lateRankPenalty is by how much: more than the ranks that operators declare, 0 to 3.
+	// lateRankPenalty is added to the rank of a late request: more than the ranks that
+	// operators declare, 0 to 3.
 	lateRankPenalty = 4
 )
 
-// effectiveRank is the rank at the target, 0 being the most urgent. In a small fleet, where
-// every instance knows what waits at the targets, requests are placed well enough, and
-// those put behind would only lose their memory to others (docs/ROUTING.md).
+// effectiveRank returns the request's rank at the target, 0 being the most urgent. In a
+// small fleet late requests keep their rank: every instance knows what is queued at the
+// targets and places requests well enough, and a lower rank would only make them lose
+// their memory to others (docs/ROUTING.md).
 func (x *exchange) effectiveRank() int {
 	rank := x.baseRank()
 	if len(x.view.Alive) <= maxSmallFleet || !x.g.settings().Policy.DeprioritizeLate {
@@ -197,7 +203,7 @@
 	return min(rank, lowestPriority)
 }
 
-// baseRank is the customer's if it has one, else the route's.
+// baseRank returns the customer's priority if it has one, else the route's.
 func (x *exchange) baseRank() int {
 	if x.customer != nil && x.customer.HasPriority {
 		return max(x.customer.Priority, 0)
@@ -205,16 +211,16 @@
 	return max(x.route.Priority, 0)
 }
 
-// beginTicket notes a request that is sent now.
-func (g *Gateway) beginTicket(target string, w placement.PrefillWork, now time.Time) *placement.PendingRequest {
+// addPending tells the latency predictor of a request that is being sent.
+func (g *Gateway) addPending(target string, work placement.PrefillWork, now time.Time) *placement.PendingRequest {
 	g.predictorMu.Lock()
 	defer g.predictorMu.Unlock()
-	return g.predictor.Start(target, w, now)
+	return g.predictor.Start(target, work, now)
 }
 
-// dropTicket forgets a request that has ended.
-func (g *Gateway) dropTicket(t *placement.PendingRequest) {
+// removePending tells the latency predictor that a request has ended.
+func (g *Gateway) removePending(pending *placement.PendingRequest) {
 	g.predictorMu.Lock()
 	defer g.predictorMu.Unlock()
-	g.predictor.Remove(t)
+	g.predictor.Remove(pending)
 }
