--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -12,22 +12,22 @@
 	"github.com/shedhoist/shedhoist/internal/problem"
 )
 
-// What place.Decide is asked for each attempt, and what becomes of a request that it
-// refuses.
+// Choice of a target for each attempt with placement.Select, and refusal of requests for
+// which there is none.
 
-// minFitCandidates is how many of the candidates must be fit for the request; if fewer are, more
-// are looked for among all targets of the service.
+// minFitCandidates is the least number of fit candidates; if there are fewer, more are
+// taken from all targets of the service.
 const minFitCandidates = 8
 
-// chooseTarget decides on the next attempt: its target, or nil if there is to be none.
+// chooseTarget returns the target of the next attempt, or nil if the decision is not to send.
 func (x *exchange) chooseTarget() (*catalog.Target, placement.Decision) {
-	resting := x.g.breaker.EjectedForSelection()
+	ejected := x.g.breaker.EjectedForSelection()
 	candidates, serving := x.view.Candidates[x.service], x.view.Serving[x.service]
 	x.unreachableZones, x.backoffUntil = x.g.unreachableZones(serving), x.g.breaker.Backoffs()
-	if len(candidates) < len(serving) && x.countFit(candidates, resting) < minFitCandidates {
-		candidates = x.widenCandidates(serving, resting)
+	if len(candidates) < len(serving) && x.countFit(candidates, ejected) < minFitCandidates {
+		candidates = x.widenCandidates(serving, ejected)
 	}
-	options, works := x.placementTargets(candidates, resting)
+	options, works := x.placementTargets(candidates, ejected)
 	query := x.placementQuery()
 	for {
 		d := placement.Select(options, query)
@@ -37,22 +37,22 @@
 		t := candidates[d.Index]
 		if x.g.breaker.InBackoff(t.ID) {
 			x.backoffUntil = x.g.breaker.Backoffs()
-			options[d.Index].InBackoff = true // another request was told meanwhile
+			options[d.Index].InBackoff = true // it requested backoff of another request meanwhile
 			continue
 		}
 		if !options[d.Index].Ejected && !x.g.breaker.AllowProbe(t.ID) {
-			options[d.Index].Ejected = true // another request tries it
+			options[d.Index].Ejected = true // another request is its half-open probe
 			continue
 		}
 		if x.takeWarmupSlot(t, x.g.now()) {
 			x.promptWork, x.predictedMS = works[d.Index], options[d.Index].FirstResponseMS
 			return t, d
 		}
-		options[d.Index].WarmupLimited = true // another request was faster
+		options[d.Index].WarmupLimited = true // another request took the last warmup slot
 	}
 }
 
-// placementQuery is the request as place sees it.
+// placementQuery returns what placement needs to know of the request.
 func (x *exchange) placementQuery() placement.Query {
 	set := x.g.settings()
 	q := placement.Query{Zone: set.Zone, RolloutTimeout: set.RolloutWithin, ConcurrencyPenaltyMS: x.concurrencyPenaltyMS(), RequestBytes: len(x.body), Rand: rand.Float64, Policy: set.Policy,
@@ -76,69 +76,71 @@
 	return q
 }
 
-// isFit says whether a target serves the request's model with the newest weights, was not
-// tried, does not rest, and bears a request of this instance.
-func (x *exchange) isFit(t *catalog.Target, resting []string) bool {
-	if x.isExcluded(t) || x.inBackoff(t) || slices.Contains(resting, t.ID) || x.unreachableZones[t.Zone] {
+// isFit reports whether a target serves the request's model with the newest weights, may
+// still be tried, is neither ejected nor in backoff nor in an unreachable zone, and, while
+// warming up, has a slot left for this instance.
+func (x *exchange) isFit(t *catalog.Target, ejected []string) bool {
+	if x.isExcluded(t) || x.inBackoff(t) || slices.Contains(ejected, t.ID) || x.unreachableZones[t.Zone] {
 		return false
 	}
-	if closed, _ := x.warmupBlocked(t, x.g.now()); closed {
+	if blocked, _ := x.warmupBlocked(t, x.g.now()); blocked {
 		return false
 	}
 	p := x.call.Prompt
 	return p == nil || t.WeightVersion(p.Model) >= max(x.view.NamedVersions[p.Model].Newest, 1)
 }
 
-// inBackoff says whether a target wants no requests, as of this attempt.
+// inBackoff reports whether a target has requested backoff, as of this attempt.
 func (x *exchange) inBackoff(t *catalog.Target) bool {
-	_, asks := x.backoffUntil[t.ID]
-	return asks
+	_, found := x.backoffUntil[t.ID]
+	return found
 }
 
-func (x *exchange) countFit(targets []*catalog.Target, resting []string) int {
+func (x *exchange) countFit(targets []*catalog.Target, ejected []string) int {
 	n := 0
 	for _, t := range targets {
-		if x.isFit(t, resting) {
+		if x.isFit(t, ejected) {
 			n++
 		}
 	}
 	return n
 }
 
-// widenCandidates takes as many as are considered at a time from all targets of a service, the fit
-// ones first, and those that ask for rest last, from a random one on.
-func (x *exchange) widenCandidates(serving []*catalog.Target, resting []string) []*catalog.Target {
-	var good, rest, asking []*catalog.Target
+// widenCandidates returns up to maxCandidates of all targets of a service: first the fit
+// ones, last those in backoff. It starts at a random target.
+func (x *exchange) widenCandidates(serving []*catalog.Target, ejected []string) []*catalog.Target {
+	var fit, unfit, inBackoff []*catalog.Target
 	start := rand.IntN(len(serving))
 	for i := range serving {
 		t := serving[(start+i)%len(serving)]
 		switch {
-		case x.isFit(t, resting):
-			good = append(good, t)
+		case x.isFit(t, ejected):
+			fit = append(fit, t)
 		case x.inBackoff(t):
-			asking = append(asking, t)
-		case len(rest) < maxCandidates:
-			rest = append(rest, t)
+			inBackoff = append(inBackoff, t)
+		case len(unfit) < maxCandidates:
+			unfit = append(unfit, t)
 		}
-		if len(good) == maxCandidates {
-			return good
+		if len(fit) == maxCandidates {
+			return fit
 		}
 	}
-	all := slices.Concat(good, rest, asking)
+	all := slices.Concat(fit, unfit, inBackoff)
 	return all[:min(len(all), maxCandidates)]
 }
 
-// placementTargets are the targets as place sees them, and what the request asks of each.
-func (x *exchange) placementTargets(targets []*catalog.Target, resting []string) ([]placement.Target, []promptWork) {
+// placementTargets returns what placement needs to know of the targets, and the request's
+// prompt work at each.
+func (x *exchange) placementTargets(targets []*catalog.Target, ejected []string) ([]placement.Target, []promptWork) {
 	now := x.g.now()
 	options, works := make([]placement.Target, len(targets)), make([]promptWork, len(targets))
 	set := x.g.settings()
-	others := x.peerLoadsAt(targets, now)
+	peerLoads := x.peerLoadsAt(targets, now)
 	x.g.predictorMu.Lock()
 	defer x.g.predictorMu.Unlock()
 	for i, t := range targets {
 		load := x.g.upstream.inflight.Get(t.ID)
-		o := placement.Target{ID: t.Name, Zone: t.Zone, InFlight: int(load.Requests.Load()), Excluded: x.isExcluded(t), Ejected: slices.Contains(resting, t.ID), ZoneUnreachable: x.unreachableZones[t.Zone], InBackoff: x.inBackoff(t)}
+		o := placement.Target{ID: t.Name, Zone: t.Zone, InFlight: int(load.Requests.Load()), Excluded: x.isExcluded(t), Ejected: slices.Contains(ejected, t.ID), ZoneUnreachable: x.unreachableZones[t.Zone], InBackoff: x.inBackoff(t)}
 		o.WarmupLimited, o.Weight = x.warmupBlocked(t, now)
 		if p := x.call.Prompt; p != nil {
 			version := t.WeightVersion(p.Model)
@@ -146,9 +148,9 @@
 			o.OutdatedFor = x.view.NamedVersions[p.Model].outdatedFor(version, now)
 			works[i] = x.promptWorkAt(t, version, now)
 			o.CapacityTokens = x.view.Config.TargetMemory(t.Service)
-			o.UsedTokens = int(load.MemoryTokens.Load()) + others[i].Memory
+			o.UsedTokens = int(load.MemoryTokens.Load()) + peerLoads[i].Memory
 		}
-		works[i].QueuedTokens = int(load.PrefillTokens.Load()) + others[i].Tokens
+		works[i].QueuedTokens = int(load.PrefillTokens.Load()) + peerLoads[i].Tokens
 		o.FirstResponseMS = x.g.predictor.NominalTime(works[i].PrefillWork)
 		if set.Policy.LearnedLatency {
 			o.FirstResponseMS = x.g.predictor.FirstResponseTime(t.ID, works[i].PrefillWork, now)
@@ -159,7 +161,8 @@
 	return options, works
 }
 
-// peerLoadsAt is what the other instances have under way at the targets.
+// peerLoadsAt returns the work that the other instances have in progress at the targets,
+// or zero values if the policy ignores it.
 func (x *exchange) peerLoadsAt(targets []*catalog.Target, now time.Time) []loadreport.Work {
 	if !x.g.settings().Policy.PeerLoads {
 		return make([]loadreport.Work, len(targets))
@@ -171,11 +174,11 @@
 	return x.g.peerLoads.At(keys, now)
 }
 
-// What an own run at a target is assumed to delay another by.
+// Delay that each of this instance's requests at a target is assumed to cause another.
 const (
-	engineConcurrencyPenaltyMS = 2.0 // one more in the batch slows each step a little
-	// plainConcurrencyPenalty is the same at a plain service, as a share of the route's
-	// objective: a few places serve all.
+	engineConcurrencyPenaltyMS = 2.0 // one more request in the batch slows each step a little
+	// plainConcurrencyPenalty applies to targets without a model engine, as a share of the
+	// route's latency objective: such targets have few concurrent slots.
 	plainConcurrencyPenalty = 0.05
 )
 
@@ -186,12 +189,12 @@
 	return plainConcurrencyPenalty * float64(x.route.LatencyObjective) / float64(time.Millisecond)
 }
 
-// retryAfterMemoryFull is when to come back to targets whose memory was full, from half of it to one
-// and a half times as long, so that callers do not return together: a target's memory turns
-// over in one to four seconds.
+// retryAfterMemoryFull is the mean Retry-After when all targets' memory is full: a target's
+// memory turns over in one to four seconds. It is spread over 0.5 to 1.5 times that, so
+// that callers do not return together.
 const retryAfterMemoryFull = time.Second
 
-// refuseNoTarget ends a request for which no target may be used.
+// refuseNoTarget ends a request for which there is no usable target.
 func (x *exchange) refuseNoTarget(d placement.Decision) {
 	v := x.machine.NoTarget()
 	x.decision = d
@@ -211,41 +214,41 @@
 	}
 }
 
-// maxRetryAfter bounds the advice on when to come back to targets that turned the request away or
-// ask for rest: they told this instance, and the caller may meet another next time.
+// maxRetryAfter bounds the Retry-After of targets that refused the request or requested
+// backoff. They told this instance only, and the retry may reach another one.
 const maxRetryAfter = time.Second
 
-// refuseInBackoff refuses a request, of which nothing has run, since all targets that could take
-// it ask for rest. Its caller is told to come back when the first rest ends, or up to half as
-// late again, so that callers do not return together, and none returns in vain.
+// refuseInBackoff refuses a request that has not run because all targets that could take it
+// have requested backoff. Retry-After is 1 to 1.5 times the time until the first backoff
+// ends, so that callers return neither together nor too early.
 func (x *exchange) refuseInBackoff() {
 	metric.BackoffRefusals.Inc()
 	wait := min(max(x.backoffLeft(), retryAfterShort), maxRetryAfter)
 	x.refuse(retryLater(problem.Overloaded, "the targets have asked for rest", wait+rand.N(wait/2)))
 }
 
-// backoffLeft is the time until the first of the service's targets that ask for rest ends it.
+// backoffLeft returns the time until the first backoff of the service's targets ends.
 func (x *exchange) backoffLeft() time.Duration {
 	left, now := time.Duration(0), x.g.now()
 	for _, t := range x.view.Serving[x.service] {
-		until, asks := x.backoffUntil[t.ID]
-		if d := until.Sub(now); asks && (left == 0 || d < left) {
+		until, found := x.backoffUntil[t.ID]
+		if d := until.Sub(now); found && (left == 0 || d < left) {
 			left = d
 		}
 	}
 	return left
 }
 
-// retryAfterWarmup is when to come back once cold targets bear no more, from half of it to one
-// and a half times as long: targets are cold for some seconds.
+// retryAfterWarmup is the mean Retry-After when all warmup slots are taken, spread over 0.5
+// to 1.5 times that: targets warm up for some seconds.
 const retryAfterWarmup = time.Second
 
-// retryAfterEvacuation is when to come back once operators have evacuated all targets, from
-// half of it to one and a half times as long: they take seconds to take a zone back.
+// retryAfterEvacuation is the mean Retry-After when operators have evacuated all targets,
+// spread over 0.5 to 1.5 times that: they need seconds to release a zone.
 const retryAfterEvacuation = 2 * time.Second
 
-// refuseMemoryFull refuses a request, of which nothing has run, since every target that could
-// take it is full.
+// refuseMemoryFull refuses a request that has not run because the memory of every target
+// that could take it is full.
 func (x *exchange) refuseMemoryFull(d placement.Decision) {
 	x.machine.NoTarget()
 	x.decision = d
