--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -11,21 +11,21 @@
 	"github.com/shedhoist/shedhoist/internal/problem"
 )
 
-// Advice on when to come back, by what has to change meanwhile.
+// Values of Retry-After, by what the caller has to wait for.
 const (
-	retryAfterShort   = 250 * time.Millisecond // a queue to shrink, an order to be carried out
+	retryAfterShort   = 250 * time.Millisecond // a queue to shrink, a load order to complete
 	retryAfterStartup = 500 * time.Millisecond // a new process to learn the configuration
 )
 
-// serveCaller is the whole of one request.
+// serveCaller handles one request of a caller.
 func (g *Gateway) serveCaller(w http.ResponseWriter, r *http.Request) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
 	x := &exchange{g: g, w: w, r: r, arrived: g.now(), view: g.view.Load()}
 	if x.view.Draining || x.view.Isolated || len(r.TransferEncoding) > 0 {
-		// While stopping, or cut off, callers shall connect anew elsewhere. After a chunked body
-		// the connection is not read further either: a message that also states a
-		// length may hide another request behind its end (RFC 9112, section 6.1).
+		// While this instance is draining or isolated, callers should reconnect elsewhere.
+		// The connection is also closed after a chunked body: a message that states a
+		// Content-Length too may smuggle another request (RFC 9112, section 6.1).
 		w.Header().Set("Connection", "close")
 	}
 	defer func() {
@@ -37,7 +37,7 @@
 			metric.Panics.Inc()
 			g.log.WithField("request", x.call.ID).WithField("panic", v).Error("panic in a request")
 		}
-		panic(http.ErrAbortHandler) // cut, so that no half answer looks whole
+		panic(http.ErrAbortHandler) // closes the connection: a truncated response must not look complete
 	}()
 	if p := x.admit(); p != nil {
 		x.refuse(p)
@@ -46,7 +46,8 @@
 	x.run()
 }
 
-// admit finds out what the request is and whether it may pass.
+// admit parses and authenticates the request, finds its route and reads its body. It
+// returns the problem for which the request is refused, or nil.
 func (x *exchange) admit() *problem.Problem {
 	var err error
 	x.call, err = x.g.codec.ParseRequest(x.r.Header)
@@ -85,30 +86,30 @@
 	if p := x.readBody(cfg.Limits); p != nil {
 		return p
 	}
-	return x.checkStop() // time has passed
+	return x.checkStop() // a stop may have begun while the body was read
 }
 
-// checkStop refuses a request that a stop could cut.
+// checkStop refuses a request whose deadline lies after the end of an ongoing shutdown.
 func (x *exchange) checkStop() *problem.Problem {
 	if !x.g.wouldCut(x.deadline) {
 		return nil
 	}
-	x.w.Header().Set("Connection", "close") // the request may have begun to come before the stop
+	x.w.Header().Set("Connection", "close") // not set on arrival if the stop began later
 	return retryLater(problem.Draining, "this instance stops before the request may end", retryAfterShort)
 }
 
-// Bounds of the wait of a request that meets a new process.
+// Limits on the time that a request waits for a new process to initialize.
 const (
-	// startupWait is long enough for a start in which the object store answers: 20 ms for
-	// one process, about a second for hundreds at a time.
+	// startupWait covers a start in which the object store responds: 20 ms for one
+	// process, about a second for hundreds that start at a time.
 	startupWait = time.Second
-	// startupWaitShare is the part of the caller's patience that the wait may take: what is
-	// left is enough for an answer, or for another try elsewhere.
+	// startupWaitShare is the share of the caller's timeout that the wait may take. The
+	// rest is enough for a response, or for another attempt elsewhere.
 	startupWaitShare = 1.0 / 3
 )
 
-// awaitStartup lets a request that comes in a process's first moments wait until the
-// process knows the configuration and the targets.
+// awaitStartup waits, if the process has just started, until it knows the configuration
+// and the targets.
 func (x *exchange) awaitStartup() {
 	if x.view.initialized() {
 		return
@@ -127,7 +128,7 @@
 	x.view = x.g.view.Load()
 }
 
-// headerSize is the size of a request's header in bytes, line ends included.
+// headerSize returns the size in bytes of a request's line and header, line ends included.
 func headerSize(r *http.Request) int {
 	n := len(r.Method) + len(r.RequestURI) + len(" ")*2 + len(r.Proto) + len("\r\n") + len("Host: \r\n") + len(r.Host)
 	for name, values := range r.Header {
@@ -138,17 +139,18 @@
 	return n
 }
 
+// retryLater returns a problem that asks the caller to retry after a time.
 func retryLater(k problem.Kind, detail string, after time.Duration) *problem.Problem {
 	p := problem.New(k, detail)
 	p.RetryAfter = after
 	return p
 }
 
-// bodyTimeout is the longest time that a caller may take to send its body, within the request's
-// deadline.
+// bodyTimeout is the longest time that a caller may take to send its body. The request's
+// deadline may shorten it.
 const bodyTimeout = 10 * time.Second
 
-// readBody reads the whole body within its limits.
+// readBody reads the whole body within the limits on size and time.
 func (x *exchange) readBody(l catalog.Limits) *problem.Problem {
 	limit := l.BodyBytes
 	if limit <= 0 {
@@ -166,24 +168,24 @@
 		until = x.deadline
 	}
 	if err := rc.SetReadDeadline(until); err != nil {
-		x.g.log.WithError(err).WithField("request", x.call.ID).Warn("no bound on the time for the body")
+		x.g.log.WithError(err).WithField("request", x.call.ID).Warn("cannot set the read deadline for the body")
 	}
 	var err error
 	if x.body, err = body.Read(http.MaxBytesReader(x.w, x.r.Body, limit), x.r.ContentLength); err != nil {
 		return body.Problem(err)
 	}
-	_ = rc.SetReadDeadline(time.Time{}) // a connection on which this fails is gone
+	_ = rc.SetReadDeadline(time.Time{}) // fails only if the connection is closed
 	return nil
 }
 
-// defaultMaxBodyBytes bounds a body where the configuration does not, in bytes.
+// defaultMaxBodyBytes applies where the configuration sets no limit.
 const defaultMaxBodyBytes = 8 << 20
 
-// refuse gives the final answer of our own, at once.
+// refuse ends the request with a problem response of the gateway itself.
 func (x *exchange) refuse(p *problem.Problem) {
 	x.endTrial()
 	p.RequestID = x.call.ID
-	// A status that promises "not run" may be given only if that is known.
+	// A status that implies "not executed" is allowed only if that is known.
 	if p.Execution != problem.NotRun && impliesNotExecuted(p.Status()) {
 		p.Kind = problem.TargetFailed
 	}
@@ -192,8 +194,8 @@
 	p.WriteBody(x.w)
 }
 
-// impliesNotExecuted says which statuses tell a caller that its request has not run
-// and never will.
+// impliesNotExecuted reports whether a status tells the caller that its request has not
+// been and will not be executed.
 func impliesNotExecuted(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -13,31 +13,32 @@
 	"github.com/shedhoist/shedhoist/internal/metric"
 )
 
-// Bounds of a stream.
+// Limits of a stream.
 const (
-	maxEventBytes = 1 << 20 // bytes of one event
-	// stallGapFactor times a route's longest pause between events, and minStallTimeout at least, is
-	// the silence after which a stream goes on elsewhere. Callers bear eight such pauses,
-	// and two seconds at least; the other target needs the rest to read the prompt.
+	maxEventBytes = 1 << 20 // size of one event
+	// A stream is resumed elsewhere after a silence of stallGapFactor times the route's
+	// MaxEventGap, or minStallTimeout if that is longer. Callers tolerate eight such gaps,
+	// and two seconds at least; the other target needs the remaining time to read the
+	// prompt.
 	stallGapFactor  = 4
 	minStallTimeout = 1200 * time.Millisecond
 )
 
-// stallTimeout is the longest silence between the events of a stream that can go on
+// stallTimeout returns the longest silence between events of a stream that can be resumed
 // elsewhere.
 func (x *exchange) stallTimeout() time.Duration {
 	return max(stallGapFactor*x.route.MaxEventGap, minStallTimeout)
 }
 
-// EventSizeError says that an event is longer than maxEventBytes.
+// EventSizeError reports an event larger than maxEventBytes.
 type EventSizeError struct{}
 
 // Error implements error.
-func (*EventSizeError) Error() string { return "event is too long" }
+func (*EventSizeError) Error() string { return "event exceeds the size limit" }
 
-// relayStream passes on events as they come, each whole or not at all. A stream that
-// breaks goes on at another target behind the last event passed on, if its route
-// lets it; what the caller has then stays one stream.
+// relayStream forwards events as they arrive, each one completely or not at all. If the
+// stream breaks and the route is resumable, the next attempt continues after the last
+// forwarded event, so that the caller sees a single stream.
 func (x *exchange) relayStream(at *attemptState) attemptResult {
 	events := eventReader{r: bufio.NewReader(at.httpResponse.Body)}
 	flush := http.NewResponseController(x.w)
@@ -47,19 +48,19 @@
 		}
 		data, id, err := events.next()
 		if at.silenceTimer != nil {
-			at.silenceTimer.Stop() // a caller that reads slowly is no silence of the target
+			at.silenceTimer.Stop() // a slow caller must not count as silence of the target
 		}
 		if errors.Is(err, io.EOF) {
 			return x.endStream(at, first)
 		}
 		if err != nil {
-			return attemptResult{event: attempt.FailedMidResponse, connBroken: true, cause: &BadResponseError{Target: at.target.ID, Reason: "stream is not whole", Cause: err}}
+			return attemptResult{event: attempt.FailedMidResponse, connBroken: true, cause: &BadResponseError{Target: at.target.ID, Reason: "stream is incomplete", Cause: err}}
 		}
 		if first {
 			x.recordFirstByte(at)
 		}
 		if !x.isNextEvent(id) {
-			return attemptResult{event: attempt.FailedMidResponse, cause: &BadResponseError{Target: at.target.ID, Reason: "event " + id + " after event " + x.lastEventID}}
+			return attemptResult{event: attempt.FailedMidResponse, cause: &BadResponseError{Target: at.target.ID, Reason: "event id " + id + " out of order, last was " + x.lastEventID}}
 		}
 		if !x.headerSent {
 			x.writeHeader(at.httpResponse.StatusCode, at.httpResponse.Header, -1)
@@ -78,19 +79,19 @@
 	}
 }
 
-// isNextEvent says whether an event may come behind the last one passed on: ids rise,
-// also where the stream went on at another target.
+// isNextEvent reports whether an event may follow the last forwarded one: ids increase,
+// also when the stream is resumed at another target.
 func (x *exchange) isNextEvent(id string) bool {
 	next, err := strconv.ParseUint(id, 10, 64)
 	if err != nil {
-		return true // an id that is no number tells no order
+		return true // only numeric ids have an order
 	}
 	last, err := strconv.ParseUint(x.lastEventID, 10, 64)
 	return err != nil || next > last
 }
 
-// endStream takes a stream's proper end. One without any event is an answer all
-// the same.
+// endStream handles the regular end of a stream. A stream without events is a valid
+// response.
 func (x *exchange) endStream(at *attemptState, empty bool) attemptResult {
 	if empty {
 		x.recordFirstByte(at)
@@ -101,8 +102,8 @@
 	return attemptResult{delivered: true, status: at.httpResponse.StatusCode}
 }
 
-// eventReader cuts a text/event-stream into whole events (HTML standard, section
-// 9.2.6), their bytes unchanged.
+// eventReader splits a text/event-stream into events (HTML standard, section 9.2.6) and
+// leaves their bytes unchanged.
 type eventReader struct {
 	r   *bufio.Reader
 	buf []byte
@@ -110,16 +111,16 @@
 
 var idField = []byte("id:")
 
-// next returns one event with the blank line behind it, and its id if it has
-// one. io.EOF is the stream's end between events; within one it is
-// io.ErrUnexpectedEOF. The bytes are valid until the next call.
+// next returns one event including the blank line that ends it, and its id if it has one.
+// The error is io.EOF if the stream ends between events, io.ErrUnexpectedEOF if it ends
+// within one. The bytes are valid until the next call.
 func (e *eventReader) next() (data []byte, id string, err error) {
 	e.buf = e.buf[:0]
 	for {
 		start := len(e.buf)
 		for {
-			piece, err := e.r.ReadSlice('\n')
-			e.buf = append(e.buf, piece...)
+			chunk, err := e.r.ReadSlice('\n')
+			e.buf = append(e.buf, chunk...)
 			if len(e.buf) > maxEventBytes {
 				return nil, "", &EventSizeError{}
 			}
@@ -138,8 +139,8 @@
 		if len(line) == 0 {
 			return e.buf, id, nil
 		}
-		if rest, ok := bytes.CutPrefix(line, idField); ok {
-			id = string(bytes.TrimPrefix(rest, []byte(" ")))
+		if value, ok := bytes.CutPrefix(line, idField); ok {
+			id = string(bytes.TrimPrefix(value, []byte(" ")))
 		}
 	}
 }
