--- a/internal/gateway/retry_budgets.go
+++ b/internal/gateway/retry_budgets.go
@@ -7,7 +7,7 @@
 	"github.com/shedhoist/shedhoist/internal/metric"
 )
 
-// retryBudgets holds this instance's part of each service's retry budget.
+// retryBudgets holds this instance's share of each service's retry budget.
 type retryBudgets struct {
 	g         *Gateway
 	mu        sync.Mutex
@@ -15,38 +15,38 @@
 }
 
 const (
-	// budgetUtilization is the part of the allowed retries that is used: instances that
-	// do not know of one another yet hold parts that add up to more.
+	// budgetUtilization is the share of the allowed retries that is used: the shares of
+	// instances that do not know of one another yet add up to more than the budget.
 	budgetUtilization = 0.8
-	// minAssumedFleet is the number of instances assumed until more are known of: one
-	// that just started knows of none.
+	// minAssumedFleet is the least number of instances assumed: an instance that has just
+	// started knows of no other.
 	minAssumedFleet = 10
 )
 
-// budgetOf returns a service's budget, resized to the fleet; b.mu is held.
+// budgetOf returns a service's budget, resized to the number of instances. b.mu is held.
 func (b *retryBudgets) budgetOf(service string) *limit.FleetBudget {
 	instances := max(b.g.view.Load().InstanceCount, minAssumedFleet)
 	if b.byService == nil {
 		b.byService = map[string]*limit.FleetBudget{}
 	}
-	e := b.byService[service]
-	if e == nil {
+	budget := b.byService[service]
+	if budget == nil {
 		set := b.g.settings().Retry
-		e = limit.NewFleetBudget(set.Share*budgetUtilization, set.Slack*budgetUtilization, instances)
-		b.byService[service] = e
+		budget = limit.NewFleetBudget(set.Share*budgetUtilization, set.Slack*budgetUtilization, instances)
+		b.byService[service] = budget
 	}
-	e.Resize(instances)
-	return e
+	budget.Resize(instances)
+	return budget
 }
 
-// creditRequest credits a service's budget with one request.
+// creditRequest adds one request to a service's budget, which allows retries in proportion.
 func (b *retryBudgets) creditRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.budgetOf(service).Deposit()
 }
 
-// spendRetry spends one retry from a service's budget, if there is one.
+// spendRetry takes one retry from a service's budget and reports whether there was one.
 func (b *retryBudgets) spendRetry(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -19,36 +19,38 @@
 
 // upstream sends requests to targets.
 type upstream struct {
-	singleUseClient *http.Client // a connection for each request
+	singleUseClient *http.Client // opens a new connection for each request
 	dial            peer.Dial
 	inflight        *inflight.Loads
 
 	mu                 sync.Mutex
-	keepAliveClients   map[time.Duration]*http.Client // by how long unused connections are kept
-	serviceIdleTimeout map[string]time.Duration       // the shortest such time that a service's targets told
+	keepAliveClients   map[time.Duration]*http.Client // by idle timeout
+	serviceIdleTimeout map[string]time.Duration       // by service: the shortest that its targets allow
 }
 
-// Bounds of connections to targets.
+// Limits of connections to targets.
 const (
 	// targetConnectTimeout bounds a connect: round trips between zones take 3 ms, a new
-	// connection a millisecond of the target's time.
+	// connection 1 ms of the target's time.
 	targetConnectTimeout = 400 * time.Millisecond
-	// maxIdlePerTarget is how many unused connections to one target are kept: an instance
+	// maxIdlePerTarget is the number of idle connections kept to one target: an instance
 	// has one to four requests there at a time.
 	maxIdlePerTarget = 4
-	// minTargetIdleTimeout is how long they are kept where targets do not say for how long they keep
-	// theirs: less than the shortest time that can be said.
+	// minTargetIdleTimeout is how long idle connections are kept where targets announce no
+	// keep-alive timeout: less than the shortest that can be announced.
 	minTargetIdleTimeout = 900 * time.Millisecond
-	// idleCloseMargin is how much earlier than a target an instance closes: the time that is
-	// said is in whole seconds, and a request must not cross the target's close.
+	// idleCloseMargin is how much earlier than the target an instance closes an idle
+	// connection: the announced timeout is in whole seconds, and no request may be sent
+	// while the target closes the connection.
 	idleCloseMargin = 1500 * time.Millisecond
-	// maxTargetIdleTimeout bounds the time for any target, so that few connections are held open.
+	// maxTargetIdleTimeout bounds the idle timeout, so that few connections are held open.
 	maxTargetIdleTimeout = 8 * time.Second
 )
 
 func newUpstream() *upstream { return newUpstreamWithDial(nil) }
 
-// newUpstreamWithDial is newUpstream on another network; nil is this machine's.
+// newUpstreamWithDial returns an upstream that connects with dial; nil is the machine's
+// own network.
 func newUpstreamWithDial(dial peer.Dial) *upstream {
 	if dial == nil {
 		dial = netx.Dialer(targetConnectTimeout).DialContext
@@ -56,8 +58,8 @@
 	return &upstream{dial: dial, singleUseClient: newClient(dial, 0, 0), inflight: inflight.New(), keepAliveClients: map[time.Duration]*http.Client{}, serviceIdleTimeout: map[string]time.Duration{}}
 }
 
-// newClient returns a client that keeps connections by the life of a target: one that was
-// opened to an earlier life, perhaps behind a cut, is never used for a later one.
+// newClient returns a client that pools connections by target incarnation: a connection to
+// an earlier incarnation, perhaps broken by a network partition, is never used for a later one.
 func newClient(dial peer.Dial, perTarget int, idle time.Duration) *http.Client {
 	t := netx.Transport(netx.TransportOptions{Connect: targetConnectTimeout, IdlePerHost: perTarget, IdleFor: idle})
 	t.DialContext = func(ctx context.Context, network, _ string) (net.Conn, error) {
@@ -72,25 +74,26 @@
 	return &http.Client{Transport: t, CheckRedirect: netx.NoRedirect}
 }
 
-// dialKey is the context's key of a dialTarget.
+// dialKey is the context key of a dialTarget.
 type dialKey struct{}
 
-// dialTarget is what a dial is told by its context.
+// dialTarget holds the parameters of a dial, passed in its context.
 type dialTarget struct {
 	address string
-	onSlow  func() // is called once the connect has taken slowConnectThreshold; nil: nothing is
+	onSlow  func() // called once the connect has taken slowConnectThreshold; may be nil
 }
 
-// incarnationHost stands for a target's life in place of a host's name.
+// incarnationHost returns a host name that is unique to a target's incarnation. The
+// transport pools connections by it.
 func incarnationHost(id string) string { return "t" + strconv.FormatUint(xxhash.Sum64String(id), 16) }
 
-// keepAliveClient is the client whose connections are kept for as long as a service's targets
-// bear.
+// keepAliveClient returns the client whose idle timeout is the one known for a service's
+// targets.
 func (u *upstream) keepAliveClient(service string) *http.Client {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	idle, said := u.serviceIdleTimeout[service]
-	if !said {
+	idle, known := u.serviceIdleTimeout[service]
+	if !known {
 		idle = minTargetIdleTimeout
 	}
 	c := u.keepAliveClients[idle]
@@ -101,16 +104,16 @@
 	return c
 }
 
-// learnKeepAlive takes a target's word of how long it keeps unused connections. What it says is
-// in whole seconds, so there are few different ones.
-func (u *upstream) learnKeepAlive(service string, said time.Duration) {
-	if said <= 0 {
+// learnKeepAlive records the keep-alive timeout that a target announced. It is in whole
+// seconds, so there are few distinct values, and few clients.
+func (u *upstream) learnKeepAlive(service string, announced time.Duration) {
+	if announced <= 0 {
 		return
 	}
-	idle := min(max(said-idleCloseMargin, minTargetIdleTimeout), maxTargetIdleTimeout).Truncate(minTargetIdleTimeout / 2)
+	idle := min(max(announced-idleCloseMargin, minTargetIdleTimeout), maxTargetIdleTimeout).Truncate(minTargetIdleTimeout / 2)
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if known, ok := u.serviceIdleTimeout[service]; !ok || idle < known {
+	if current, ok := u.serviceIdleTimeout[service]; !ok || idle < current {
 		u.serviceIdleTimeout[service] = idle
 	}
 }
@@ -123,22 +126,22 @@
 	}
 }
 
-// upstreamRequest is one request on its way to a target.
+// upstreamRequest is a request to be sent to a target.
 type upstreamRequest struct {
 	service   string
-	targetID  string // id of the life that is meant
+	targetID  string // id of the target's incarnation
 	address   string
 	onSlow    func() // see dialTarget
 	method    string
-	url       *url.URL // the caller's: its path and query are sent as they were written
+	url       *url.URL // the caller's; path and query are sent unchanged
 	host      string
 	header    http.Header
 	body      []byte
-	reuseConn bool // a kept connection will do
+	reuseConn bool // a keep-alive connection may be used
 }
 
-// send issues the request once. The body can't be rewound, so that net/http never sends it
-// a second time.
+// send issues the request once. Its body can't be rewound, so that net/http never retries
+// it by itself.
 func (u *upstream) send(ctx context.Context, o upstreamRequest) (resp *http.Response, way netx.Way, err error) {
 	to := &url.URL{Scheme: "http", Host: incarnationHost(o.targetID), Path: o.url.Path, RawPath: o.url.RawPath, RawQuery: o.url.RawQuery, ForceQuery: o.url.ForceQuery}
 	req := (&http.Request{Method: o.method, URL: to, Host: o.host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: o.header, Body: netx.OnceBody(bytes.NewReader(o.body)),
