--- a/internal/gateway/evacuations_test.go
+++ b/internal/gateway/evacuations_test.go
@@ -67,8 +67,8 @@
 func newEvacuatedFleet(t *testing.T, n int) *evacuatedFleet {
 	a := &arrivalLog{last: map[string]time.Time{}, seen: map[string]int{}}
 	f := &evacuatedFleet{arrivals: a, stopped: make(chan struct{})}
-	f.trafficFleet = newFleetWith(t, n, 3, 9, fleetOptions{codec: evacuationCodec{}, arrived: a.record,
-		edit: func(s *Settings) { s.EvacuateWithin = evacuateBound }})
+	f.trafficFleet = newFleetWith(t, n, 3, 9, fleetOptions{codec: evacuationCodec{}, onArrival: a.record,
+		editSettings: func(s *Settings) { s.EvacuateWithin = evacuateBound }})
 	f.records.Store(int32(n))
 	return f
 }
--- a/internal/gateway/prompt_test.go
+++ b/internal/gateway/prompt_test.go
@@ -9,15 +9,16 @@
 	"github.com/shedhoist/shedhoist/internal/catalog"
 )
 
-// TestServiceRemoved: a target whose service the newest configuration no longer
-// declares has no known links, and breaks nothing.
+// TestServiceRemoved checks that the transfer time to a target is 0 when the newest
+// configuration no longer declares its service, and so its link speed.
 func TestServiceRemoved(t *testing.T) {
 	x := &exchange{view: &View{Config: catalog.NewConfig(catalog.ConfigSpec{})}}
 	src := partSource{store: &catalog.CacheStore{LinkMbps: 1000}, tokens: 100}
 	is.New(t).Equal(x.transferMS(src, &catalog.Target{Service: "gone"}), 0.0)
 }
 
-// TestUrgencyRank guards against hurried or higher requests behind others, and ranks unknown to targets.
+// TestUrgencyRank checks that late requests rank behind the others, except in a small fleet,
+// that a customer's priority overrides the route's, and that no rank exceeds lowestPriority.
 func TestUrgencyRank(t *testing.T) {
 	start := time.Unix(0, 0)
 	cases := []struct {
@@ -31,12 +32,12 @@
 	}{
 		{"in time", 299, 0, 1, nil, 17, 1},
 		{"late", 301, 0, 1, nil, 17, 5},
-		{"late since it has waited", 299, 200 * time.Millisecond, 1, nil, 17, 5},
-		{"its time is over", 1, 600 * time.Millisecond, 0, nil, 17, 4},
-		{"the lowest rank there is", 460, 0, 8, nil, 17, lowestPriority},
-		{"a customer's own rank", 299, 0, 1, &catalog.Customer{Priority: 3, HasPriority: true}, 17, 3},
-		{"a customer's own rank, late", 460, 0, 1, &catalog.Customer{Priority: 0, HasPriority: true}, 17, 4},
-		{"late, in a small fleet", 460, 0, 1, nil, 16, 1},
+		{"late after a wait", 299, 200 * time.Millisecond, 1, nil, 17, 5},
+		{"objective already missed", 1, 600 * time.Millisecond, 0, nil, 17, 4},
+		{"capped at the lowest priority", 460, 0, 8, nil, 17, lowestPriority},
+		{"customer priority", 299, 0, 1, &catalog.Customer{Priority: 3, HasPriority: true}, 17, 3},
+		{"customer priority, late", 460, 0, 1, &catalog.Customer{Priority: 0, HasPriority: true}, 17, 4},
+		{"late in a small fleet", 460, 0, 1, nil, 16, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -49,8 +50,9 @@
 	}
 }
 
-// TestFetchBounds: a fetch is begun only if it is predicted to leave half of the objective,
-// and once begun may take three times as long as the objective before it is given up.
+// TestFetchBounds checks that a fetch starts only if it is predicted to leave half of the
+// latency objective, that it then may last until three objectives after the request's
+// arrival, and never longer than maxFetchTime.
 func TestFetchBounds(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(0, 0)
--- a/internal/gateway/quarantine_trial_test.go
+++ b/internal/gateway/quarantine_trial_test.go
@@ -12,9 +12,11 @@
 	"github.com/shedhoist/shedhoist/internal/problem"
 )
 
-// TestTrialWithoutTarget guards against a trial that no target could take counting as made.
+// TestTrialWithoutTarget guards against counting the trial of a quarantined request as made
+// when there was no target for it, here because all zones are evacuated: the request
+// would stay in quarantine although it no longer crashes its targets.
 func TestTrialWithoutTarget(t *testing.T) {
-	const body = "what its targets crashed under"
+	const body = "crashes its target"
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newEvacuatedFleet(t, 3)
--- a/internal/gateway/serve_test.go
+++ b/internal/gateway/serve_test.go
@@ -13,44 +13,45 @@
 	"github.com/shedhoist/shedhoist/internal/wait"
 )
 
-// TestAwaitStartup: a request that meets a new process waits until the process knows enough,
-// for a bounded time and a part of its caller's patience, and no longer than its caller.
+// TestAwaitStartup checks that a request to a new process waits until the process is
+// initialized, but no longer than startupWait, startupWaitShare of the caller's timeout, or
+// until the caller disconnects.
 func TestAwaitStartup(t *testing.T) {
-	known := &View{Config: catalog.NewConfig(catalog.ConfigSpec{}), TargetsListed: true}
+	initialized := &View{Config: catalog.NewConfig(catalog.ConfigSpec{}), TargetsListed: true}
 	never := time.Hour
 	cases := []struct {
-		name     string
-		known    time.Duration // when
-		patience time.Duration
-		leaves   time.Duration // when the caller does
-		want     time.Duration
-		informed bool
+		name            string
+		initializedIn   time.Duration
+		callerTimeout   time.Duration
+		disconnectIn    time.Duration
+		wantWait        time.Duration
+		wantInitialized bool
 	}{
-		{"known before", 0, 0, never, 0, true},
-		{"known soon", 20 * time.Millisecond, 4 * time.Second, never, 20 * time.Millisecond, true},
-		{"not in time", 2 * time.Second, 12 * time.Second, never, startupWait, false},
-		{"little patience", 2 * time.Second, 600 * time.Millisecond, never, 200 * time.Millisecond, false},
-		{"the caller leaves", 2 * time.Second, 0, 50 * time.Millisecond, 50 * time.Millisecond, false},
+		{"initialized before the request", 0, 0, never, 0, true},
+		{"initialized in time", 20 * time.Millisecond, 4 * time.Second, never, 20 * time.Millisecond, true},
+		{"not initialized in time", 2 * time.Second, 12 * time.Second, never, startupWait, false},
+		{"short caller timeout", 2 * time.Second, 600 * time.Millisecond, never, 200 * time.Millisecond, false},
+		{"caller disconnects", 2 * time.Second, 0, 50 * time.Millisecond, 50 * time.Millisecond, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				g := &Gateway{initialized: make(chan struct{})}
-				know := func() { g.view.Store(known); close(g.initialized) }
-				if c.known == 0 {
-					know()
+				initialize := func() { g.view.Store(initialized); close(g.initialized) }
+				if c.initializedIn == 0 {
+					initialize()
 				} else {
-					time.AfterFunc(c.known, know)
+					time.AfterFunc(c.initializedIn, initialize)
 				}
-				ctx, leave := context.WithCancel(t.Context())
-				time.AfterFunc(c.leaves, leave)
+				ctx, disconnect := context.WithCancel(t.Context())
+				time.AfterFunc(c.disconnectIn, disconnect)
 				r := (&http.Request{}).WithContext(ctx)
-				x := &exchange{g: g, r: r, view: g.view.Load(), call: CallerRequest{Timeout: c.patience}}
-				began := time.Now()
+				x := &exchange{g: g, r: r, view: g.view.Load(), call: CallerRequest{Timeout: c.callerTimeout}}
+				start := time.Now()
 				x.awaitStartup()
-				is.Equal(time.Since(began), c.want)
-				is.Equal(x.view.initialized(), c.informed)
+				is.Equal(time.Since(start), c.wantWait)
+				is.Equal(x.view.initialized(), c.wantInitialized)
 				wait.For(t.Context(), 2*never)
 			})
 		})
--- a/internal/gateway/shutdown_late_test.go
+++ b/internal/gateway/shutdown_late_test.go
@@ -39,7 +39,7 @@
 		t.Run(path, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				f := newFleetWith(t, 1, 1, 1, fleetOptions{codec: longCodec{}, arrived: func(_ *memoryTarget, r *http.Request) {
+				f := newFleetWith(t, 1, 1, 1, fleetOptions{codec: longCodec{}, onArrival: func(_ *memoryTarget, r *http.Request) {
 					if r.URL.Path == longRunPath {
 						time.Sleep(longRun)
 					}
--- a/internal/gateway/stream_config_test.go
+++ b/internal/gateway/stream_config_test.go
@@ -7,11 +7,11 @@
 	"github.com/shedhoist/shedhoist/internal/catalog"
 )
 
-// pathStream is that of streams that may go on at another target.
+// pathStream is the path prefix of streams that can be resumed at another target.
 const pathStream = "/stream/"
 
-// configWithStreams declares what trafficCodec does, and a route of streams, with a timeout and
-// a number of attempts for what may be repeated.
+// configWithStreams returns the configuration of trafficCodec plus a route for resumable
+// streams. timeout applies to all routes, attempts to those whose requests may be repeated.
 func configWithStreams(value []byte, timeout time.Duration, attempts int) (*catalog.Config, error) {
 	var d storedConfig
 	if err := json.Unmarshal(value, &d); err != nil {
--- a/internal/gateway/traffic_test.go
+++ b/internal/gateway/traffic_test.go
@@ -19,19 +19,20 @@
 	"github.com/shedhoist/shedhoist/internal/catalog"
 )
 
-// A fleet in memory with callers and targets that run requests, and that may crash.
+// An in-memory fleet with callers, and with targets that execute requests and may crash.
 
-// trafficCodec is the dialect of callers and targets.
+// trafficCodec is the Codec of the test's callers and targets.
 type trafficCodec struct{ jsonCodec }
 
-// Headers of the dialect.
+// Headers of trafficCodec.
 const (
 	trafficID       = "Id"
 	trafficKey      = "Key"
 	trafficCustomer = "Customer"
 )
 
-// Routes: requests to /once/ run once at most, those to /safe/ may be repeated.
+// Path prefixes of the routes: requests to /once/ run at most once, those to /safe/ may be
+// repeated.
 const (
 	pathOnce = "/once/"
 	pathSafe = "/safe/"
@@ -70,7 +71,7 @@
 // CallerResponseHeader implements Codec.
 func (trafficCodec) CallerResponseHeader(in http.Header) http.Header { return in }
 
-// trafficFleet is a fleet before targets of one service.
+// trafficFleet is a fleet of instances with targets of one service.
 type trafficFleet struct {
 	*memoryFleet
 	targets []*memoryTarget
@@ -79,26 +80,25 @@
 	options fleetOptions
 }
 
-// fleetOptions are what a fleet may have beside the usual.
+// fleetOptions are the optional settings of a trafficFleet.
 type fleetOptions struct {
-	codec   Codec                                  // nil: trafficCodec
-	edit    func(*Settings)                        // of each instance
-	arrived func(m *memoryTarget, r *http.Request) // a request reaches a target
+	codec        Codec                                  // trafficCodec if nil
+	editSettings func(*Settings)                        // changes each instance's settings
+	onArrival    func(m *memoryTarget, r *http.Request) // called when a request reaches a target
 }
 
-// slowBody is what a target takes slowTime to run.
+// slowBody is the body of a request that takes slowTime to run.
 const slowBody = "slow"
 
-// Times of a target's life.
 const (
 	slowTime    = 2 * time.Second
 	runTime     = 60 * time.Millisecond
 	restartTime = 3 * time.Second
-	// fleetOutage is how long the instances are gone when all are killed.
+	// fleetOutage is the time between the kill of all instances and their restart.
 	fleetOutage = time.Second
 )
 
-// newTrafficFleet starts n instances and some targets.
+// newTrafficFleet starts n instances and a number of targets, spread over zones.
 func newTrafficFleet(t *testing.T, n, zones, targets int) *trafficFleet {
 	return newFleetWith(t, n, zones, targets, fleetOptions{})
 }
@@ -119,14 +119,14 @@
 	return f
 }
 
-// addInstance starts one more instance, under a new name.
+// addInstance starts another instance under a new name and returns its index.
 func (f *trafficFleet) addInstance() int {
 	i := len(f.gateways)
 	name := fmt.Sprintf("e-%03d", i)
 	set := (&Settings{Name: name, Zone: fmt.Sprintf("z%d", i%f.zones), CallerListen: name + ":1", ReadyListen: name + ":2", PeerListen: name + ":3",
 		Seeds: []string{"e-000:3", "e-001:3", "e-002:3"}, PlatformAddress: "store:1"}).WithDefaults()
-	if f.options.edit != nil {
-		f.options.edit(set)
+	if f.options.editSettings != nil {
+		f.options.editSettings(set)
 	}
 	f.gateways, f.storeClients = append(f.gateways, nil), append(f.storeClients, &storeClient{store: f.store})
 	f.startInstance(i, set)
@@ -146,7 +146,7 @@
 	f.gateways[i] = g
 }
 
-// awaitReady waits until all instances know of all.
+// awaitReady waits until n instances are ready, and then until they know of one another.
 func (f *trafficFleet) awaitReady(n int) {
 	for f.readyCount() < n {
 		time.Sleep(100 * time.Millisecond)
@@ -154,7 +154,7 @@
 	time.Sleep(2 * time.Second)
 }
 
-// restartAll kills all instances at once and starts them again.
+// restartAll kills all instances at once and starts them again after fleetOutage.
 func (f *trafficFleet) restartAll() {
 	for _, g := range f.gateways {
 		f.closeListeners(g.settings().CallerListen, g.settings().ReadyListen, g.settings().PeerListen)
@@ -166,7 +166,7 @@
 	}
 }
 
-// closeListeners has connections to addresses refused.
+// closeListeners makes connections to some addresses be refused.
 func (f *trafficFleet) closeListeners(addresses ...string) {
 	f.net.mu.Lock()
 	defer f.net.mu.Unlock()
@@ -175,51 +175,51 @@
 	}
 }
 
-// silenceStore has the object store answer nobody, or all again.
-func (f *trafficFleet) silenceStore(yes bool) {
+// silenceStore makes the object store stop responding to the instances, or respond again.
+func (f *trafficFleet) silenceStore(silent bool) {
 	for _, d := range f.storeClients {
-		d.setSilent(yes)
+		d.setSilent(silent)
 	}
 }
 
-// isolation cuts instances off from everything but callers, or lets them back.
-func (f *trafficFleet) isolate(instances []int, yes bool) {
+// isolate cuts instances off from everything but callers, or reconnects them.
+func (f *trafficFleet) isolate(instances []int, isolated bool) {
 	for _, i := range instances {
-		f.net.setCut(f.gateways[i].settings().Name, yes)
-		f.storeClients[i].setSilent(yes)
+		f.net.setCut(f.gateways[i].settings().Name, isolated)
+		f.storeClients[i].setSilent(isolated)
 	}
 }
 
-// setCrashOn has all targets crash on some bodies.
-func (f *trafficFleet) setCrashOn(deadly func(body string) bool) {
+// setCrashOn sets the bodies on which the targets crash; nil means none.
+func (f *trafficFleet) setCrashOn(crashesOn func(body string) bool) {
 	for _, m := range f.targets {
 		m.mu.Lock()
-		m.crashesOn = deadly
+		m.crashesOn = crashesOn
 		m.mu.Unlock()
 	}
 }
 
-// memoryTarget is a target that answers in memory.
+// memoryTarget is a target on the in-memory network.
 type memoryTarget struct {
 	f          *trafficFleet
 	name, zone string
 
 	mu          sync.Mutex
 	srv         *http.Server
-	startedAt   int64 // Unix ms of its life's start
-	stopped     bool  // it does not start again
-	warmupMS    int64 // as its entry says at its next start
-	runs        int
-	resetsConns bool                   // it ends connections instead of answering, and lives on
-	crashesOn   func(body string) bool // bodies that crash it
+	startedAt   int64                  // start of its incarnation, in Unix ms
+	stopped     bool                   // it does not restart
+	warmupMS    int64                  // in its registry entry from the next start on
+	runs        int                    // requests in progress
+	resetsConns bool                   // it closes connections instead of responding, and keeps running
+	crashesOn   func(body string) bool // reports whether a body crashes it
 }
 
-// start begins a life of the target, with an entry of its own.
+// start begins a new incarnation of the target and writes its registry entry.
 func (m *memoryTarget) start() {
 	m.mu.Lock()
-	over := m.stopped
+	stopped := m.stopped
 	m.mu.Unlock()
-	if over {
+	if stopped {
 		return
 	}
 	address := m.name + ":1"
@@ -230,32 +230,32 @@
 	srv := &http.Server{Handler: m}
 	m.mu.Lock()
 	m.srv, m.startedAt = srv, time.Now().UnixMilli()
-	coldMS := m.warmupMS
+	warmupMS := m.warmupMS
 	m.mu.Unlock()
-	go func() { _ = srv.Serve(ln) }() // it ends with the target
-	m.f.store.set(memoryTargets, m.name, catalog.Target{Service: "s", Address: address, Zone: m.zone, Start: m.startedAt, WarmupMS: coldMS})
+	go func() { _ = srv.Serve(ln) }() // ends with the target
+	m.f.store.set(memoryTargets, m.name, catalog.Target{Service: "s", Address: address, Zone: m.zone, Start: m.startedAt, WarmupMS: warmupMS})
 }
 
-// leave announces the target's end.
+// leave marks the target as leaving in its registry entry.
 func (m *memoryTarget) leave() {
 	m.f.store.set(memoryTargets, m.name, catalog.Target{Service: "s", Address: m.name + ":1", Zone: m.zone, Start: m.startedAt, Leaving: true})
 }
 
-// crash ends the target, and has it start again some seconds later.
+// crash stops the target and restarts it after restartTime.
 func (m *memoryTarget) crash() {
 	m.mu.Lock()
 	srv := m.srv
 	m.srv = nil
 	m.mu.Unlock()
 	if srv == nil {
-		return // it is gone already
+		return // not running
 	}
 	m.f.closeListeners(m.name + ":1")
 	srv.Close()
 	time.AfterFunc(restartTime, m.start)
 }
 
-// busy says whether a request is under way.
+// busy reports whether the target is executing a request.
 func (m *memoryTarget) busy() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -268,14 +268,15 @@
 	m.runs += n
 }
 
-// ServeHTTP runs a request for runTime, or slowTime.
+// ServeHTTP executes a request: it takes runTime, and slowTime more for slowBody, and
+// returns the request's body.
 func (m *memoryTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if arrived := m.f.options.arrived; arrived != nil {
+	if arrived := m.f.options.onArrival; arrived != nil {
 		arrived(m, r)
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // its caller is gone
+		return // the client is gone
 	}
 	m.addRuns(1)
 	defer m.addRuns(-1)
@@ -283,20 +284,20 @@
 		time.Sleep(slowTime)
 	}
 	m.mu.Lock()
-	deadly, resets := m.crashesOn, m.resetsConns
+	crashesOn, resetsConns := m.crashesOn, m.resetsConns
 	m.mu.Unlock()
-	if resets {
+	if resetsConns {
 		panic(http.ErrAbortHandler)
 	}
-	if deadly != nil && deadly(string(body)) {
+	if crashesOn != nil && crashesOn(string(body)) {
 		m.crash()
-		panic(http.ErrAbortHandler) // a process that is gone answers nothing
+		panic(http.ErrAbortHandler) // a crashed process sends no response
 	}
 	w.Header().Set(trafficID, r.Header.Get(trafficID))
-	_, _ = w.Write(body) // a caller that is gone needs no answer
+	_, _ = w.Write(body) // fails only if the client is gone
 }
 
-// stop ends the fleet.
+// stop stops all targets and instances.
 func (f *trafficFleet) stop() {
 	for _, m := range f.targets {
 		m.mu.Lock()
@@ -310,18 +311,18 @@
 	f.memoryFleet.stop()
 }
 
-// trafficResponse is what a caller got.
+// trafficResponse is the response that a caller received.
 type trafficResponse struct {
-	status int    // 0: none
-	body   string // whole
+	status int    // 0 if there was no response
+	body   string // empty unless it was read to its end
 }
 
-// request sends one request to an instance and returns its answer.
+// request sends one request to instance i and returns the response.
 func (f *trafficFleet) request(i int, path, body string) trafficResponse {
 	return f.requestAt(f.gateways[i].CallerAddr(), path, body)
 }
 
-// requestAt is ask of the instance at an address.
+// requestAt is like request, for the instance at an address.
 func (f *trafficFleet) requestAt(address, path, body string) trafficResponse {
 	ctx, cancel := context.WithTimeout(f.t.Context(), 5*time.Second)
 	defer cancel()
@@ -337,6 +338,7 @@
 	return roundTrip(conn, fmt.Sprintf("POST %sx HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: key\r\nContent-Length: %d\r\n\r\n%s", path, anyHost, trafficID, id, trafficKey, len(body), body))
 }
 
+// roundTrip writes a request to conn and reads the response. Its status is 0 if that fails.
 func roundTrip(conn net.Conn, request string) trafficResponse {
 	if _, err := io.Copy(conn, strings.NewReader(request)); err != nil {
 		return trafficResponse{}
--- a/internal/gateway/warmup_test.go
+++ b/internal/gateway/warmup_test.go
@@ -181,7 +181,7 @@
 
 func newWarmupFleet(t *testing.T, n int, s *requestCounter) *evacuatedFleet {
 	f := &evacuatedFleet{arrivals: &arrivalLog{last: map[string]time.Time{}, seen: map[string]int{}}, stopped: make(chan struct{})}
-	f.trafficFleet = newFleetWith(t, n, 3, 9, fleetOptions{codec: warmupCodec{}, arrived: s.note, edit: func(set *Settings) {
+	f.trafficFleet = newFleetWith(t, n, 3, 9, fleetOptions{codec: warmupCodec{}, onArrival: s.note, editSettings: func(set *Settings) {
 		set.EvacuateWithin = evacuateBound
 		set.WarmupOverage, set.WarmupSlack = warmupOverage, warmupSlack
 	}})
