--- a/internal/gateway/warmup_test.go
+++ b/internal/gateway/warmup_test.go
@@ -185,7 +185,7 @@
 // newWarmupFleet starts a fleet of n instances whose codec sets a warm-up for targets.
 func newWarmupFleet(t *testing.T, n int, s *requestCounter) *evacuatedFleet {
 	f := &evacuatedFleet{arrivals: &arrivalLog{last: map[string]time.Time{}, seen: map[string]int{}}, stopped: make(chan struct{})}
-	f.trafficFleet = newFleetWith(t, n, 3, 9, fleetOptions{codec: warmupCodec{}, arrived: s.note, edit: func(set *Settings) {
+	f.trafficFleet = newFleetWith(t, n, 3, 9, fleetOptions{codec: warmupCodec{}, onArrival: s.note, editSettings: func(set *Settings) {
 		set.EvacuateWithin = maxEvacuationTimeDegraded
 		set.WarmupOverage, set.WarmupSlack = warmupOverage, warmupSlack
 	}})
