--- a/internal/gateway/watch_test.go
+++ b/internal/gateway/watch_test.go
@@ -24,12 +24,12 @@
 	onCall         atomic.Uint64 // the revision that the last watch went on from
 }
 
-func (k *countingKinds) All(context.Context, string) (platform.Snapshot, error) {
+func (k *countingKinds) List(context.Context, string) (platform.Snapshot, error) {
 	k.lists.Add(1)
 	return platform.Snapshot{Revision: 5}, nil
 }
 
-func (k *countingKinds) Follow(_ context.Context, _ string, after platform.Version, _ time.Duration) (platform.Changes, error) {
+func (k *countingKinds) Watch(_ context.Context, _ string, after platform.Version, _ time.Duration) (platform.Changes, error) {
 	k.watches.Add(1)
 	k.onCall.Store(uint64(after))
 	return platform.Changes{Revision: after + 1}, nil
