--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -10,49 +10,55 @@
 	"github.com/shedhoist/shedhoist/internal/wait"
 )
 
-// Pace of the exchange between instances.
+// Intervals and limits of the protocol between instances.
 const (
-	peerPeriod = 500 * time.Millisecond // between probes; see docs/MEMBERSHIP.md for what follows from it
-	// peerTimeout bounds one exchange. A machine without power answers nothing.
+	peerPeriod = 500 * time.Millisecond // probe interval; docs/MEMBERSHIP.md derives detection times from it
+	// peerTimeout bounds one call to a peer: a machine that lost power sends nothing, not
+	// even a refusal.
 	peerTimeout = 600 * time.Millisecond
-	// seedPeriod is how often seeds that are no live members are tried again.
+	// seedPeriod is the interval at which seeds that are not live members are retried.
 	seedPeriod = time.Second
-	// soloSeedPeriod is the same for an instance that knows of no other: where all start at
-	// once the first try meets seeds that do not listen yet.
+	// soloSeedPeriod replaces seedPeriod while an instance knows no other: when all start
+	// at the same time, the seeds do not listen yet at the first attempt.
 	soloSeedPeriod = 200 * time.Millisecond
-	// seedGap is the pause between two seeds: the first one's answer names the others
-	// and all live members, 20 kB in a fleet of 300, which need not come three times.
+	// seedGap is the pause between two seeds. The reply of the first names the others and
+	// all live members, 20 kB in a fleet of 300, which should not be transferred three
+	// times.
 	seedGap = 60 * time.Millisecond
-	// noStorePollPeriod is how often an instance that the object store refuses asks a
-	// peer for news.
+	// noStorePollPeriod is how often an instance that can't reach the object store requests
+	// updates from a peer.
 	noStorePollPeriod = 300 * time.Millisecond
-	// catchUpDelay is what the store usually takes to tell all instances of a change.
+	// catchUpDelay is the time within which a change usually reaches all instances from
+	// the store.
 	catchUpDelay = 100 * time.Millisecond
-	// maxSmallFleet is the largest number of instances in which all watch the object
-	// store. In a larger one the watchers do, and news spread from peer to peer.
+	// maxSmallFleet is the largest fleet in which every instance watches the object store.
+	// In a larger one only the watchers do, and updates spread from peer to peer.
 	maxSmallFleet = 16
-	// maxPeerSilence is how old the last exchange with a peer may be for that.
+	// maxPeerSilence is how long ago a peer may have replied last for an instance to rely
+	// on peers for updates.
 	maxPeerSilence = 1500 * time.Millisecond
-	// gossipFanout is how many peers are told of a change at once; it spreads on by probes.
+	// gossipFanout is how many peers a change is sent to directly; probes carry it further.
 	gossipFanout = 12
-	// memberSyncThreshold is how many more live members than this instance a peer must know to be
-	// asked at once for all of them. Fewer come with probes, 8 at a time. When 150 instances
-	// start together most join by a seed that knows few yet, and without it only 45 of them
-	// know all after 20 s: trees and roles, which each works out for itself, differ as long.
+	// memberSyncThreshold: a peer that knows more than this many additional live members is
+	// asked for the whole list immediately. Fewer arrive with probes, 8 at a time. When 150
+	// instances start together, most join through a seed that knows few of them; without
+	// this request only 45 know all members after 20 s, and until then the relay trees and
+	// roles that each instance computes differ.
 	memberSyncThreshold = 3
-	// memberSyncDelay is how long all peers must have known more, if only a few, to be asked: news
-	// of a member reach 300 instances by probes in less.
+	// memberSyncDelay is how long every peer must have known more members, if only a few,
+	// before one is asked for the whole list: probes carry a new member to 300 instances in
+	// less.
 	memberSyncDelay = 2 * time.Second
-	// watcherRole ranks the instances that tell the others.
+	// watcherRole is the rendezvous key that ranks instances for the role of a watcher.
 	watcherRole = "watcher"
 )
 
-// peerService is the name of the exchange in net/rpc.
+// peerService is the net/rpc service name.
 const peerService = "Fleet"
 
 // peerSecret proves to a peer that the other side is an entry instance of the same
-// program. The network between instances is the platform's; the proof keeps out
-// strays, such as another service at a reused address.
+// program. Access to the network between instances is controlled by the platform; the
+// proof rejects accidental connections, such as from another service at a reused address.
 const peerSecret = "shedhoist/fleet/1"
 
 // ReachRequest asks a peer to probe another one.
@@ -61,24 +67,26 @@
 	Address string `cbor:"2,keyasint"`
 }
 
-// ReachReply is the answer to a Reach.
+// ReachReply is the reply to a ReachRequest. OK is set if the other instance answered
+// under the expected name.
 type ReachReply struct {
 	OK bool `cbor:"1,keyasint"`
 }
 
-// peerHandler is the net/rpc handler of a Gateway. net/rpc wants these signatures.
+// peerHandler is the net/rpc handler of a Gateway. net/rpc requires the signatures of its
+// methods.
 type peerHandler struct{ g *Gateway }
 
-// Hello answers a probe.
+// Hello replies to a probe, and starts catching up if the sender knows more.
 func (h *peerHandler) Hello(req *HelloRequest, out *HelloReply) error {
-	behind, lacking := false, false
+	behind, missingMembers := false, false
 	h.g.queryControl(func(c *controlState) {
 		*out = c.replyHello(req)
-		behind, lacking = c.knownVersions().isBehind(req.StateVersions), c.needsMembers(req.LiveMembers)
+		behind, missingMembers = c.knownVersions().isBehind(req.StateVersions), c.needsMembers(req.LiveMembers)
 	})
 	out.Staleness = h.g.staleness.Reports(h.g.now())
 	out.SuspectsDigest = h.g.quarantine.Digest(h.g.now())
-	if lacking {
+	if missingMembers {
 		h.g.spawn(func() { h.g.syncMembers(req.From.Address) })
 	}
 	if behind && req.From.Address != "" {
@@ -87,19 +95,19 @@
 	return nil
 }
 
-// Reach probes another instance for the asker.
+// Reach probes another instance on behalf of the caller.
 func (h *peerHandler) Reach(req *ReachRequest, out *ReachReply) error {
 	ctx, cancel := context.WithTimeout(h.g.ctx, peerTimeout)
 	defer cancel()
-	var w HelloReply
+	var reply HelloReply
 	hello := &HelloRequest{}
 	h.g.queryControl(func(c *controlState) { hello = c.newHelloTo(req.Name, false) })
-	err := h.g.pool.Call(ctx, req.Address, peerService+".Hello", hello, &w)
-	out.OK = err == nil && w.From.Name == req.Name
+	err := h.g.pool.Call(ctx, req.Address, peerService+".Hello", hello, &reply)
+	out.OK = err == nil && reply.From.Name == req.Name
 	return nil
 }
 
-// replyHello takes a peer's probe and answers it.
+// replyHello applies what a peer's probe reports and returns the reply to it.
 func (c *controlState) replyHello(req *HelloRequest) HelloReply {
 	now := c.now()
 	if req.From.Name != "" {
@@ -120,24 +128,26 @@
 	return out
 }
 
-// newHello is a Hello with all that is known here, to whichever peer.
-func (c *controlState) newHello(need bool) *HelloRequest {
-	return c.buildHello(c.reportLeaving(), need)
+// newHello returns a hello request for any peer. It contains all leaving targets.
+func (c *controlState) newHello(wantUpdate bool) *HelloRequest {
+	return c.buildHello(c.reportLeaving(), wantUpdate)
 }
 
-// newHelloTo is a greeting to a peer that is known.
-func (c *controlState) newHelloTo(peer string, need bool) *HelloRequest {
-	return c.buildHello(c.reportLeavingTo(peer), need)
+// newHelloTo returns a hello request for one peer. It contains the leaving targets that
+// are due to be reported to that peer.
+func (c *controlState) newHelloTo(peer string, wantUpdate bool) *HelloRequest {
+	return c.buildHello(c.reportLeavingTo(peer), wantUpdate)
 }
 
-func (c *controlState) buildHello(leaving LeavingTargets, need bool) *HelloRequest {
-	return &HelloRequest{From: c.members.Self(), StateVersions: c.stateVersions(), KnownVersions: c.knownVersions(), WantUpdate: need, StoreUnreachable: !c.storeReachable,
+func (c *controlState) buildHello(leaving LeavingTargets, wantUpdate bool) *HelloRequest {
+	return &HelloRequest{From: c.members.Self(), StateVersions: c.stateVersions(), KnownVersions: c.knownVersions(), WantUpdate: wantUpdate, StoreUnreachable: !c.storeReachable,
 		LiveMembers: c.members.LiveCount(), Leaving: leaving}
 }
 
-// needsMembers says whether a peer that knows so many live members is to be asked for all.
-func (c *controlState) needsMembers(known int) bool {
-	missing := known - c.members.LiveCount()
+// needsMembers reports whether a peer that knows this many live members should be asked
+// for all of them. See memberSyncThreshold and memberSyncDelay.
+func (c *controlState) needsMembers(peerLiveCount int) bool {
+	missing := peerLiveCount - c.members.LiveCount()
 	if missing <= 0 {
 		c.membersMissingSince = time.Time{}
 		return false
@@ -152,7 +162,7 @@
 	return true
 }
 
-// syncMembers asks a peer for all members that it knows. One call at a time is enough.
+// syncMembers requests all members that a peer knows. Only one call runs at a time.
 func (g *Gateway) syncMembers(address string) {
 	if !g.syncingMembers.CompareAndSwap(false, true) {
 		return
@@ -161,23 +171,23 @@
 	var hello *HelloRequest
 	g.queryControl(func(c *controlState) { hello = c.newHello(false) })
 	if hello == nil {
-		return // this instance is ending
+		return // this instance is shutting down
 	}
 	hello.Join = true
 	g.sendHello(member.Probe{Address: address}, hello)
 }
 
-// probePeers carries out the probes that are due; it runs on the control goroutine.
+// probePeers sends the probes that are due. It runs on the control goroutine.
 func (g *Gateway) probePeers(c *controlState) {
-	need := !c.storeReachable
+	wantUpdate := !c.storeReachable
 	for _, p := range c.members.Tick(c.now()) {
-		hello := c.newHelloTo(p.To, need)
+		hello := c.newHelloTo(p.To, wantUpdate)
 		hello.Members = p.Updates
 		g.spawn(func() { g.sendHello(p, hello) })
 	}
 }
 
-// probeEnded brings the end of a probe.
+// probeEnded is the event that a probe was answered or failed.
 type probeEnded struct {
 	g     *Gateway
 	probe member.Probe
@@ -196,26 +206,26 @@
 		c.members.Ack(e.probe.To, now)
 		return
 	}
-	if around := c.members.DirectProbeFailed(e.probe.To, now); len(around) > 0 {
-		e.g.spawn(func() { e.g.probeIndirectly(around) })
+	if indirect := c.members.DirectProbeFailed(e.probe.To, now); len(indirect) > 0 {
+		e.g.spawn(func() { e.g.probeIndirectly(indirect) })
 	}
 }
 
-// probesFailed: neither direct nor indirect probes reached a member.
+// probesFailed is the event that neither direct nor indirect probes reached a member.
 type probesFailed struct{ name string }
 
 func (e probesFailed) apply(c *controlState) { c.members.ProbeFailed(e.name, c.now()) }
 
-// sendHello sends one direct probe.
+// sendHello sends one direct probe and applies the reply.
 func (g *Gateway) sendHello(p member.Probe, req *HelloRequest) {
 	ctx, cancel := context.WithTimeout(g.ctx, peerTimeout)
 	defer cancel()
 	var reply HelloReply
-	asked := g.now()
+	sentAt := g.now()
 	err := g.pool.Call(ctx, p.Address, peerService+".Hello", req, &reply)
-	g.staleness.Merge(reply.Staleness, asked)
+	g.staleness.Merge(reply.Staleness, sentAt)
 	if err != nil && req.Join {
-		return // a seed that does not answer is no member yet
+		return // a seed that does not answer is not a member yet
 	}
 	g.sendEvent(probeEnded{g: g, probe: p, ok: err == nil, reply: reply})
 	if err == nil {
@@ -226,11 +236,11 @@
 		g.applyUpdate(reply.Update)
 		return
 	}
-	behind, lacking := false, false
+	behind, missingMembers := false, false
 	g.queryControl(func(c *controlState) {
-		behind, lacking = c.knownVersions().isBehind(reply.StateVersions), c.needsMembers(reply.LiveMembers)
+		behind, missingMembers = c.knownVersions().isBehind(reply.StateVersions), c.needsMembers(reply.LiveMembers)
 	})
-	if lacking {
+	if missingMembers {
 		g.spawn(func() { g.syncMembers(reply.From.Address) })
 	}
 	if behind && err == nil && !req.WantUpdate {
@@ -238,7 +248,7 @@
 	}
 }
 
-// probeIndirectly asks other members to probe a silent one.
+// probeIndirectly asks other members to probe one that did not answer.
 func (g *Gateway) probeIndirectly(probes []member.Probe) {
 	results := make(chan bool, len(probes))
 	for _, p := range probes {
@@ -259,8 +269,8 @@
 	g.sendEvent(probesFailed{name: probes[0].To})
 }
 
-// joinSeeds joins by way of the seeds, and again after a cut in which the
-// members forgot one another.
+// joinSeeds joins the fleet through the seeds, and rejoins after a network partition in
+// which the members removed one another.
 func (g *Gateway) joinSeeds(ctx context.Context) {
 	for {
 		seeds := slices.Clone(g.seeds())
@@ -281,7 +291,7 @@
 	}
 }
 
-// joinVia joins by way of an address, unless its instance is a live member already.
+// joinVia joins through an address, unless its instance is already a live member.
 func (g *Gateway) joinVia(address string) {
 	known := false
 	var hello *HelloRequest
@@ -297,8 +307,8 @@
 	}
 }
 
-// pollPeersWithoutStore asks peers for news more often than probes do, for as long as
-// the object store does not answer.
+// pollPeersWithoutStore requests updates from peers more often than probes do, while the
+// object store is unreachable.
 func (g *Gateway) pollPeersWithoutStore(ctx context.Context) {
 	for wait.For(ctx, wait.Jitter(noStorePollPeriod)) {
 		if g.storeReachable.Load() {
@@ -318,7 +328,7 @@
 	}
 }
 
-// announceLeave tells some peers goodbye.
+// announceLeave tells some peers that this instance leaves the fleet.
 func (g *Gateway) announceLeave() {
 	var probes []member.Probe
 	var self member.Member
--- a/internal/gateway/peers_test.go
+++ b/internal/gateway/peers_test.go
@@ -11,13 +11,13 @@
 	"github.com/shedhoist/shedhoist/internal/core/member"
 )
 
-// startingFleet is a fleet whose instances start at once, without a network: messages
-// arrive when they are sent.
+// startingFleet is a fleet whose instances start at the same time. It has no network:
+// messages are delivered immediately.
 type startingFleet struct {
-	byAddress map[string]*controlState
-	names     []string
-	now       time.Time
-	lists     int // whole lists of members that were handed over
+	byAddress   map[string]*controlState
+	names       []string
+	now         time.Time
+	memberLists int // complete member lists that were transferred
 }
 
 func newStartingFleet(n int) *startingFleet {
@@ -35,12 +35,13 @@
 	return f
 }
 
-// send lets one instance greet another, as Gateway.hello and peerHandler.Hello do.
+// send delivers a hello from one instance to another and applies the reply, as
+// Gateway.sendHello and peerHandler.Hello do.
 func (f *startingFleet) send(c *controlState, probe member.Probe, hello *HelloRequest) {
 	to := f.byAddress[probe.Address]
 	reply := to.replyHello(hello)
 	if hello.Join {
-		f.lists++
+		f.memberLists++
 	}
 	probeEnded{probe: probe, ok: true, reply: reply}.apply(c)
 	if to.needsMembers(hello.LiveMembers) {
@@ -57,7 +58,7 @@
 	f.send(c, member.Probe{Address: address}, hello)
 }
 
-// allKnown is how many instances know all.
+// allKnown returns the number of instances that know all members.
 func (f *startingFleet) allKnown() int {
 	n := 0
 	for _, c := range f.byAddress {
@@ -68,8 +69,9 @@
 	return n
 }
 
-// TestSimultaneousStart: of a fleet that starts at once, where all join by a seed that knows
-// few yet, all know all within some probes, by few whole lists.
+// TestSimultaneousStart guards against a slow start of a whole fleet: all instances join
+// through seeds that know few members yet, and must know all of them within ten probe
+// periods, with at most six complete member lists transferred per instance.
 func TestSimultaneousStart(t *testing.T) {
 	for _, n := range []int{9, 91, 295} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -90,9 +92,9 @@
 					}
 				}
 			}
-			t.Logf("%d periods, %.1f lists an instance", periods, float64(f.lists)/float64(n))
+			t.Logf("%d periods, %.1f lists an instance", periods, float64(f.memberLists)/float64(n))
 			is.True(periods <= 10)
-			is.True(f.lists <= 6*n)
+			is.True(f.memberLists <= 6*n)
 		})
 	}
 }
--- a/internal/gateway/updates.go
+++ b/internal/gateway/updates.go
@@ -12,195 +12,199 @@
 	"github.com/shedhoist/shedhoist/internal/wait"
 )
 
-// StateVersions says how new an instance's beliefs are. Of a list it tells the revision
-// of its last change: whoever knows all up to that revision has missed nothing.
+// StateVersions describes how recent an instance's state is. For a list it holds the
+// revision of the last change: an instance that knows everything up to that revision has
+// missed nothing.
 type StateVersions struct {
 	Config        uint64           `cbor:"1,keyasint"` // version
 	Targets       platform.Version `cbor:"2,keyasint"` // last change of the targets
 	NamedVersions platform.Version `cbor:"3,keyasint"` // last change of the named versions
 	Rollout       RolloutStamp     `cbor:"4,keyasint"`
-	NewestConfig  ConfigRef        `cbor:"5,keyasint"` // the newest configuration heard of, in force at the teller or not
-	// Evacuations is the last change of the evacuated zones.
+	NewestConfig  ConfigRef        `cbor:"5,keyasint"` // newest configuration known by reference, even if not in force at the sender
+	// Evacuations is the revision of the last change of the evacuated zones.
 	Evacuations platform.Version `cbor:"6,keyasint,omitempty"`
 }
 
-// RolloutStamp orders the news of rollouts: a later holder's token is higher.
+// RolloutStamp orders rollout updates: a later lease holder has a higher token.
 type RolloutStamp struct {
 	Token uint64 `cbor:"1,keyasint"`
 	Seq   uint64 `cbor:"2,keyasint"`
 }
 
-// newerThan says whether s is newer than o.
+// newerThan reports whether s is newer than o.
 func (s RolloutStamp) newerThan(o RolloutStamp) bool {
 	return s.Token > o.Token || (s.Token == o.Token && s.Seq > o.Seq)
 }
 
-// RolloutUpdate is what the instance that gives orders is doing.
+// RolloutUpdate describes the current work of the instance that holds the rollout lease.
 type RolloutUpdate struct {
-	Holder   string         `cbor:"4,keyasint"` // the instance
+	Holder   string         `cbor:"4,keyasint"` // name of the instance
 	Stamp    RolloutStamp   `cbor:"1,keyasint"`
-	Cordoned []string       `cbor:"2,keyasint,omitempty"` // ids of targets that shall get no new requests
+	Cordoned []string       `cbor:"2,keyasint,omitempty"` // ids of targets that must get no new requests
 	Loaded   []LoadedTarget `cbor:"3,keyasint,omitempty"` // targets with new weights
 }
 
-// LoadedTarget is a target that was seen to serve new weights.
+// LoadedTarget is a target that has been observed to serve new weights.
 type LoadedTarget struct {
 	Target string               `cbor:"1,keyasint"`
 	Serves catalog.ModelVersion `cbor:"2,keyasint"`
 }
 
-// HelloRequest probes a peer and carries news of members both ways.
+// HelloRequest probes a peer. Request and reply carry membership updates.
 type HelloRequest struct {
 	From             member.Member   `cbor:"1,keyasint"`
 	Members          []member.Member `cbor:"2,keyasint"`
 	StateVersions    StateVersions   `cbor:"3,keyasint"`
-	Join             bool            `cbor:"4,keyasint,omitempty"` // answer with all members
-	WantUpdate       bool            `cbor:"5,keyasint,omitempty"` // answer with what is newer than Have
+	Join             bool            `cbor:"4,keyasint,omitempty"` // reply with all members
+	WantUpdate       bool            `cbor:"5,keyasint,omitempty"` // reply with what is newer than KnownVersions
 	KnownVersions    KnownVersions   `cbor:"6,keyasint"`
-	StoreUnreachable bool            `cbor:"7,keyasint,omitempty"` // the object store does not answer the sender
-	LiveMembers      int             `cbor:"8,keyasint,omitempty"` // live members that the sender knows
+	StoreUnreachable bool            `cbor:"7,keyasint,omitempty"` // the sender can't reach the object store
+	LiveMembers      int             `cbor:"8,keyasint,omitempty"` // number of live members that the sender knows
 	Leaving          LeavingTargets  `cbor:"9,keyasint,omitempty"`
 }
 
-// KnownVersions is up to where an instance's beliefs are complete.
+// KnownVersions holds the versions up to which an instance's state is complete.
 type KnownVersions struct {
 	Config        uint64           `cbor:"1,keyasint"`
 	Targets       platform.Version `cbor:"2,keyasint"`
 	NamedVersions platform.Version `cbor:"3,keyasint"`
 	Rollout       RolloutStamp     `cbor:"4,keyasint"`
-	// Evacuations is up to where the evacuated zones are.
+	// Evacuations is the revision up to which the evacuated zones are complete.
 	Evacuations platform.Version `cbor:"5,keyasint,omitempty"`
 }
 
-// HelloReply is the answer to a Hello.
+// HelloReply is the reply to a HelloRequest.
 type HelloReply struct {
 	From          member.Member      `cbor:"1,keyasint"`
 	Members       []member.Member    `cbor:"2,keyasint"`
 	StateVersions StateVersions      `cbor:"3,keyasint"`
 	Update        *StateUpdate       `cbor:"4,keyasint,omitempty"`
-	VersionAges   []VersionAge       `cbor:"5,keyasint,omitempty"` // to one that joins
-	LiveMembers   int                `cbor:"6,keyasint,omitempty"` // live members that the sender knows
+	VersionAges   []VersionAge       `cbor:"5,keyasint,omitempty"` // only in the reply to a join
+	LiveMembers   int                `cbor:"6,keyasint,omitempty"` // number of live members that the sender knows
 	Staleness     []staleness.Report `cbor:"7,keyasint,omitempty"`
 	// SuspectsDigest is the sender's quarantine.Book.Digest.
 	SuspectsDigest uint64         `cbor:"8,keyasint,omitempty"`
 	Leaving        LeavingTargets `cbor:"9,keyasint,omitempty"`
 }
 
-// VersionAge is how long ago a weight version was named, by the teller's own clock.
+// VersionAge is how long ago a weight version was named, by the sender's own clock.
 type VersionAge struct {
 	Model   string `cbor:"1,keyasint"`
 	Version uint64 `cbor:"2,keyasint"`
 	AgeMS   int64  `cbor:"3,keyasint"`
 }
 
-// Update is what a peer believes, as far as it is newer than what the asker has.
+// StateUpdate holds the parts of a peer's state that are newer than the requester's.
 type StateUpdate struct {
 	Config          []byte                 `cbor:"1,keyasint,omitempty"` // as stored
-	AllTargets      bool                   `cbor:"2,keyasint,omitempty"` // Targets are all there are, else those that changed
+	AllTargets      bool                   `cbor:"2,keyasint,omitempty"` // Targets holds all targets, otherwise only those that changed
 	Targets         []catalog.Target       `cbor:"3,keyasint,omitempty"`
-	TargetsRevision platform.Version       `cbor:"4,keyasint,omitempty"` // of Targets
+	TargetsRevision platform.Version       `cbor:"4,keyasint,omitempty"` // revision of Targets
 	NamedVersions   []catalog.ModelVersion `cbor:"5,keyasint,omitempty"`
-	NamedRevision   platform.Version       `cbor:"6,keyasint,omitempty"` // up to which Versions are complete
-	NamedChanged    platform.Version       `cbor:"7,keyasint,omitempty"` // of their last change
+	NamedRevision   platform.Version       `cbor:"6,keyasint,omitempty"` // revision up to which NamedVersions is complete
+	NamedChanged    platform.Version       `cbor:"7,keyasint,omitempty"` // revision of their last change
 	Rollout         *RolloutUpdate         `cbor:"8,keyasint,omitempty"`
-	GoneTargets     []string               `cbor:"9,keyasint,omitempty"` // names of targets that are no more; with Listed, of those among Targets that may return
-	// ReadStore says that the teller does not know all that vanished since the asker's
-	// list, which is long: the asker shall take the changes from the object store.
+	GoneTargets     []string               `cbor:"9,keyasint,omitempty"` // names of removed targets; with AllTargets, names among Targets that vanished and may return
+	// ReadStore tells the requester to read the changes from the object store: the sender
+	// no longer knows all targets that were removed since the requester's revision, and the
+	// complete list is too long to send.
 	ReadStore bool `cbor:"10,keyasint,omitempty"`
-	// EvacuatedZones are the evacuated zones, all of them, as of EvacuationsRevision; their last change
-	// was at EvacuationsChanged. 0: they are not told.
+	// EvacuatedZones holds all evacuated zones as of EvacuationsRevision. Their last change
+	// was at EvacuationsChanged. If the revisions are 0, the update does not contain them.
 	EvacuatedZones      []string         `cbor:"11,keyasint,omitempty"`
 	EvacuationsRevision platform.Version `cbor:"12,keyasint,omitempty"`
 	EvacuationsChanged  platform.Version `cbor:"13,keyasint,omitempty"`
 }
 
-// versions says how new the beliefs are.
+// stateVersions returns how recent this instance's state is.
 func (c *controlState) stateVersions() StateVersions {
 	return StateVersions{Config: c.configInForce().Version, Targets: c.targets.LastChange(), NamedVersions: c.namedChanged, Rollout: c.rollout.Stamp, NewestConfig: c.newestConfig(), Evacuations: c.evacuated.LastChange()}
 }
 
-// knownVersions says up to where they are complete.
+// knownVersions returns the versions up to which the state is complete.
 func (c *controlState) knownVersions() KnownVersions {
 	return KnownVersions{Config: c.configInForce().Version, Targets: c.targets.Revision(), NamedVersions: c.namedRevision, Rollout: c.rollout.Stamp, Evacuations: c.evacuated.Revision()}
 }
 
-// isBehind says whether a peer has news that are missing here. A long configuration is none.
-func (k KnownVersions) isBehind(h StateVersions) bool {
-	return h.Config > k.Config && !h.NewestConfig.isLarge() || h.Targets > k.Targets || h.NamedVersions > k.NamedVersions || h.Rollout.newerThan(k.Rollout) || h.Evacuations > k.Evacuations
+// isBehind reports whether a peer has updates that are missing here. A large configuration
+// does not count, since peers do not include it in updates.
+func (k KnownVersions) isBehind(peer StateVersions) bool {
+	return peer.Config > k.Config && !peer.NewestConfig.isLarge() || peer.Targets > k.Targets || peer.NamedVersions > k.NamedVersions || peer.Rollout.newerThan(k.Rollout) || peer.Evacuations > k.Evacuations
 }
 
-// maxRelayedTargets is the longest list of targets that a peer hands over whole to one that can ask
-// the object store as well: 35 kB, which treeFanout instances that ask at once get within
-// 0.35 s over 10 Mbit/s. After an outage of the store, and after lost history, all ask.
+// maxRelayedTargets is the longest complete list of targets that is sent to a peer that can
+// also read the object store. It takes 35 kB, which treeFanout instances that request it at
+// the same time receive within 0.35 s over 10 Mbit/s. After an outage of the store, and
+// after its history is lost, all instances request it.
 const maxRelayedTargets = 400
 
-// updateFor collects what is newer here; nil if nothing is. alone says that the asker
-// can't ask the object store.
-func (c *controlState) updateFor(k KnownVersions, alone bool) *StateUpdate {
-	mine := c.stateVersions()
-	if !k.isBehind(mine) {
+// updateFor returns what is newer here than at a peer, or nil if nothing is.
+// storeUnreachable means that the peer can't read the object store itself.
+func (c *controlState) updateFor(known KnownVersions, storeUnreachable bool) *StateUpdate {
+	own := c.stateVersions()
+	if !known.isBehind(own) {
 		return nil
 	}
-	n := &StateUpdate{}
-	if mine.Config > k.Config && !c.configInForce().isLarge() {
-		n.Config = c.rawConfig
+	update := &StateUpdate{}
+	if own.Config > known.Config && !c.configInForce().isLarge() {
+		update.Config = c.rawConfig
 	}
-	if c.targets.Listed() && mine.Targets > k.Targets {
-		n.TargetsRevision = c.targets.Revision()
-		n.Targets, n.GoneTargets, n.AllTargets = c.targets.ChangesSince(k.Targets)
-		if n.AllTargets && !alone && len(n.Targets) > maxRelayedTargets {
-			*n = StateUpdate{Config: n.Config, ReadStore: true}
+	if c.targets.Listed() && own.Targets > known.Targets {
+		update.TargetsRevision = c.targets.Revision()
+		update.Targets, update.GoneTargets, update.AllTargets = c.targets.ChangesSince(known.Targets)
+		if update.AllTargets && !storeUnreachable && len(update.Targets) > maxRelayedTargets {
+			*update = StateUpdate{Config: update.Config, ReadStore: true}
 		}
 	}
-	if mine.NamedVersions > k.NamedVersions {
+	if own.NamedVersions > known.NamedVersions {
 		for m, v := range c.named {
-			n.NamedVersions = append(n.NamedVersions, catalog.ModelVersion{Model: m, Version: v.Newest})
+			update.NamedVersions = append(update.NamedVersions, catalog.ModelVersion{Model: m, Version: v.Newest})
 		}
-		n.NamedRevision, n.NamedChanged = c.namedRevision, mine.NamedVersions
+		update.NamedRevision, update.NamedChanged = c.namedRevision, own.NamedVersions
 	}
-	if mine.Evacuations > k.Evacuations {
-		n.EvacuatedZones, n.EvacuationsRevision, n.EvacuationsChanged = c.evacuated.Names(), max(c.evacuated.Revision(), mine.Evacuations), mine.Evacuations
+	if own.Evacuations > known.Evacuations {
+		update.EvacuatedZones, update.EvacuationsRevision, update.EvacuationsChanged = c.evacuated.Names(), max(c.evacuated.Revision(), own.Evacuations), own.Evacuations
 	}
-	if mine.Rollout.newerThan(k.Rollout) {
-		news := c.rollout
-		n.Rollout = &news
+	if own.Rollout.newerThan(known.Rollout) {
+		rollout := c.rollout
+		update.Rollout = &rollout
 	}
-	return n
+	return update
 }
 
-// applyDelayed takes a peer's beliefs as far as they are newer.
-func (g *Gateway) applyUpdate(n *StateUpdate) {
-	if n.Config != nil {
-		g.applyConfig(n.Config, fromPeer)
+// applyUpdate applies the parts of a peer's state that are newer.
+func (g *Gateway) applyUpdate(update *StateUpdate) {
+	if update.Config != nil {
+		g.applyConfig(update.Config, fromPeer)
 	}
-	if n.ReadStore {
+	if update.ReadStore {
 		g.targetsDue.Raise()
 	}
-	for i := range n.Targets {
-		n.Targets[i] = n.Targets[i].WithID()
+	for i := range update.Targets {
+		update.Targets[i] = update.Targets[i].WithID()
 	}
 	switch {
-	case n.AllTargets:
-		g.sendEvent(targetsListed{revision: n.TargetsRevision, targets: n.Targets, vanished: n.GoneTargets, from: fromPeer})
-	case n.TargetsRevision > 0:
-		g.sendEvent(targetsChanged{revision: n.TargetsRevision, present: n.Targets, gone: n.GoneTargets})
+	case update.AllTargets:
+		g.sendEvent(targetsListed{revision: update.TargetsRevision, targets: update.Targets, vanished: update.GoneTargets, from: fromPeer})
+	case update.TargetsRevision > 0:
+		g.sendEvent(targetsChanged{revision: update.TargetsRevision, present: update.Targets, gone: update.GoneTargets})
 	}
-	if n.NamedRevision > 0 {
-		g.sendEvent(versionsNamed{revision: n.NamedRevision, changed: n.NamedChanged, versions: n.NamedVersions, from: fromPeer})
+	if update.NamedRevision > 0 {
+		g.sendEvent(versionsNamed{revision: update.NamedRevision, changed: update.NamedChanged, versions: update.NamedVersions, from: fromPeer})
 	}
-	if n.EvacuationsRevision > 0 {
-		g.sendEvent(evacuationsListed{revision: n.EvacuationsRevision, changed: n.EvacuationsChanged, zones: n.EvacuatedZones, from: fromPeer})
+	if update.EvacuationsRevision > 0 {
+		g.sendEvent(evacuationsListed{revision: update.EvacuationsRevision, changed: update.EvacuationsChanged, zones: update.EvacuatedZones, from: fromPeer})
 	}
-	if n.Rollout != nil {
-		g.sendEvent(rolloutReceived{update: *n.Rollout})
+	if update.Rollout != nil {
+		g.sendEvent(rolloutReceived{update: *update.Rollout})
 	}
 }
 
-// catchUp takes a peer's news, unless the store tells them within the moment
-// that this usually takes. One call at a time is enough; what is heard of meanwhile
-// is looked after behind it.
-func (g *Gateway) catchUp(from member.Member, have StateVersions) {
-	g.aheadPeer.Store(&aheadPeer{member: from, versions: have})
+// catchUp requests a peer's updates unless the store delivers them within catchUpDelay.
+// Only one call runs at a time; it also handles the newest peer that is reported to be
+// ahead meanwhile.
+func (g *Gateway) catchUp(from member.Member, versions StateVersions) {
+	g.aheadPeer.Store(&aheadPeer{member: from, versions: versions})
 	for g.aheadPeer.Load() != nil && g.catchingUp.CompareAndSwap(false, true) {
 		for p := g.aheadPeer.Swap(nil); p != nil; p = g.aheadPeer.Swap(nil) {
 			wait.For(g.ctx, catchUpDelay)
@@ -216,7 +220,7 @@
 	versions StateVersions
 }
 
-// catchUpOnce takes the news of one peer, unless they came from elsewhere meanwhile.
+// catchUpOnce requests the updates of one peer, unless they arrived from elsewhere.
 func (g *Gateway) catchUpOnce(p aheadPeer) {
 	var hello *HelloRequest
 	g.queryControl(func(c *controlState) {
@@ -230,38 +234,39 @@
 	ctx, cancel := context.WithTimeout(g.ctx, peerTimeout)
 	defer cancel()
 	var reply HelloReply
-	asked := g.now()
+	sentAt := g.now()
 	err := g.pool.Call(ctx, p.member.Address, peerService+".Hello", hello, &reply)
-	entry := g.log.WithField("peer", p.member.Name).WithField("took_ms", g.now().Sub(asked).Milliseconds())
+	entry := g.log.WithField("peer", p.member.Name).WithField("took_ms", g.now().Sub(sentAt).Milliseconds())
 	if err != nil {
 		metric.UpdatesFailed.Inc()
 		entry.WithError(err).WithField("config", hello.StateVersions.Config).WithField("peer_config", p.versions.Config).Warn("news not had")
 		return
 	}
 	g.sendEvent(leavingReceived{targets: reply.Leaving, from: reply.From})
-	if n := reply.Update; n != nil {
-		entry.WithField("config_bytes", len(n.Config)).WithField("targets", len(n.Targets)+len(n.GoneTargets)).WithField("all", n.AllTargets).
-			WithField("ask_store", n.ReadStore).WithField("versions", len(n.NamedVersions)).WithField("rollout", n.Rollout != nil).Info("news taken from a peer")
-		g.applyUpdate(n)
+	if update := reply.Update; update != nil {
+		entry.WithField("config_bytes", len(update.Config)).WithField("targets", len(update.Targets)+len(update.GoneTargets)).WithField("all", update.AllTargets).
+			WithField("ask_store", update.ReadStore).WithField("versions", len(update.NamedVersions)).WithField("rollout", update.Rollout != nil).Info("news taken from a peer")
+		g.applyUpdate(update)
 	}
 }
 
-// gossipInterval is the least time between two rounds of telling peers of changes: in a
-// storm of changes they are told of several at once.
+// gossipInterval is the minimum time between two rounds of reporting changes to peers, so
+// that a burst of changes is sent in batches.
 const gossipInterval = controlTick
 
-// pendingUpdates is what this instance has still to tell its peers.
+// pendingUpdates records what this instance has yet to report to its peers.
 type pendingUpdates struct {
 	changed     bool
-	firstSource bool      // this instance is among the first to know
-	roleChanged bool      // it left the watchers, or came back to them
-	lastRound   time.Time // of the last round
+	firstSource bool      // this instance is among the first to learn of the change
+	roleChanged bool      // it stopped being a watcher, or became one again
+	lastRound   time.Time // time of the last round
 }
 
-// updateMark is the state that a change is measured against.
+// updateMark is the state before an event, with which noteUpdates compares the state after
+// it.
 type updateMark struct {
 	versions                StateVersions
-	reportedConfig          uint64 // newest version of a configuration that a peer spoke of
+	reportedConfig          uint64 // newest configuration version reported by a peer
 	leavingReports          leavingReports
 	storeReachable, watcher bool
 }
@@ -270,42 +275,43 @@
 	return updateMark{versions: c.stateVersions(), reportedConfig: c.reportedConfig.Version, leavingReports: c.leavingReports, storeReachable: c.storeReachable, watcher: c.fleet.watcher}
 }
 
-// noteUpdates notes what has to be told of a change. A watcher that the store left, or
-// found again, tells that too: another must take its place.
+// noteUpdates records what has to be reported to peers after a change. A watcher that
+// loses or regains the store reports that too, since another must take its place.
 func (c *controlState) noteUpdates(v *View, old updateMark) {
-	now := c.stateVersions()
+	versions := c.stateVersions()
 	watcher := v.IsWatcher || old.watcher
-	n := &c.pendingUpdates
-	n.roleChanged = n.roleChanged || watcher && c.storeReachable != old.storeReachable
-	changed := now != old.versions || c.leavingReports.received != old.leavingReports.received
-	n.firstSource = n.firstSource || watcher || c.leavingReports.observed != old.leavingReports.observed || changed && c.now().Before(c.firstSourceUntil) || now.Rollout != old.versions.Rollout && c.rolloutIsOwn
-	n.changed = n.changed || changed
+	pending := &c.pendingUpdates
+	pending.roleChanged = pending.roleChanged || watcher && c.storeReachable != old.storeReachable
+	changed := versions != old.versions || c.leavingReports.received != old.leavingReports.received
+	pending.firstSource = pending.firstSource || watcher || c.leavingReports.observed != old.leavingReports.observed || changed && c.now().Before(c.firstSourceUntil) || versions.Rollout != old.versions.Rollout && c.rolloutIsOwn
+	pending.changed = pending.changed || changed
 }
 
-// spreadUpdates tells peers what changed. In a small fleet those that hear of changes
-// first tell all the others. In a large one they tell the tops of the tree, and each
-// instance the ones that it serves there; who is missed, since another is down, learns it
-// from the next probe.
+// spreadUpdates sends changes to peers. In a small fleet the instances that learn of a
+// change first send it to up to gossipFanout others. In a large one they send it to the
+// tops of the relay tree and to their own children, and every other instance forwards it to
+// its children. An instance that is missed because a relay is down learns of the change from
+// the next probe. Changes of the watcher role are reported as in a small fleet.
 func (g *Gateway) spreadUpdates(c *controlState, v *View) {
-	n, now := c.pendingUpdates, c.now()
-	if !n.changed && !n.roleChanged || now.Sub(n.lastRound) < gossipInterval || g.ctx.Err() != nil {
+	pending, now := c.pendingUpdates, c.now()
+	if !pending.changed && !pending.roleChanged || now.Sub(pending.lastRound) < gossipInterval || g.ctx.Err() != nil {
 		return
 	}
 	c.pendingUpdates = pendingUpdates{lastRound: now}
-	var to []member.Member
+	var recipients []member.Member
 	switch {
-	case n.roleChanged || n.firstSource && v.Tree.small:
-		to = c.members.Sample(gossipFanout)
-	case n.firstSource:
-		to = append(v.Tree.otherTops(), v.Tree.children()...)
+	case pending.roleChanged || pending.firstSource && v.Tree.small:
+		recipients = c.members.Sample(gossipFanout)
+	case pending.firstSource:
+		recipients = append(v.Tree.otherTops(), v.Tree.children()...)
 	default:
-		to = v.Tree.children()
+		recipients = v.Tree.children()
 	}
-	if len(to) == 0 {
+	if len(recipients) == 0 {
 		return
 	}
 	hello := c.newHello(false)
-	for _, m := range to {
+	for _, m := range recipients {
 		g.spawn(func() { g.sendHello(member.Probe{To: m.Name, Address: m.Address}, hello) })
 	}
 }
--- a/internal/gateway/updates_test.go
+++ b/internal/gateway/updates_test.go
@@ -12,36 +12,36 @@
 	"github.com/shedhoist/shedhoist/internal/platform"
 )
 
-// fakeTargetStore is an object store's targets with their whole history.
+// fakeTargetStore simulates the targets in an object store, with their complete history.
 type fakeTargetStore struct {
-	revision uint64
-	now      map[string]uint64            // revision of each entry, by id
-	at       map[uint64]map[string]uint64 // the same as of each revision
-	changed  []string                     // id by revision, less one
+	revision   uint64
+	current    map[string]uint64            // revision of each entry, by id
+	byRevision map[uint64]map[string]uint64 // current as of each revision
+	changed    []string                     // id of the target that changed, indexed by revision - 1
 }
 
 func (s *fakeTargetStore) set(id string, present bool) {
 	s.revision++
 	s.changed = append(s.changed, id)
-	s.now = maps.Clone(s.now)
-	delete(s.now, id)
+	s.current = maps.Clone(s.current)
+	delete(s.current, id)
 	if present {
-		s.now[id] = s.revision
+		s.current[id] = s.revision
 	}
-	s.at[s.revision] = s.now
+	s.byRevision[s.revision] = s.current
 }
 
-// list is what an instance gets that lists all.
+// list returns the event of an instance that lists all targets.
 func (s *fakeTargetStore) list() targetsListed {
 	e := targetsListed{revision: platform.Version(s.revision), from: fromStore}
-	for id, at := range s.now {
+	for id, at := range s.current {
 		e.targets = append(e.targets, entry(id, at))
 	}
 	return e
 }
 
-// changes is what an instance gets that goes on from a revision: also that targets are
-// gone which came since.
+// changes returns the event of an instance that resumes from a revision. It also names
+// targets that were both added and removed since.
 func (s *fakeTargetStore) changes(after uint64) targetsChanged {
 	e := targetsChanged{revision: platform.Version(s.revision)}
 	seen := map[string]bool{}
@@ -50,7 +50,7 @@
 			continue
 		}
 		seen[id] = true
-		if at, there := s.now[id]; there {
+		if at, there := s.current[id]; there {
 			e.present = append(e.present, entry(id, at))
 		} else {
 			e.gone = append(e.gone, id)
@@ -59,15 +59,16 @@
 	return e
 }
 
-// TestNoUpdateIsIncomplete mixes at random: targets that come, change and go; instances that
-// list them, go on from where they were, take one another's news, and start again. At any
-// time each instance knows exactly the targets that there were at its revision: news leave
-// nothing out, and bring nothing back, late ones neither. The list is long enough that peers do not hand it
-// over whole to an instance that can ask the store.
+// TestNoUpdateIsIncomplete guards against updates that omit a target or bring a removed one
+// back, also if they arrive late. At random, targets are added, changed and removed, and
+// instances list them, resume from their revision, apply each other's updates and restart.
+// At any time each instance must know exactly the targets that existed at its revision. The
+// list is longer than maxRelayedTargets, so that peers do not send all of it to an instance
+// that can read the store.
 func TestNoUpdateIsIncomplete(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(5, 6))
-	s := &fakeTargetStore{now: map[string]uint64{}, at: map[uint64]map[string]uint64{0: {}}}
+	s := &fakeTargetStore{current: map[string]uint64{}, byRevision: map[uint64]map[string]uint64{0: {}}}
 	id := func() string { return fmt.Sprintf("i-%03d", r.IntN(maxRelayedTargets*3/2)) }
 	for i := range maxRelayedTargets + 20 {
 		s.set(fmt.Sprintf("i-%03d", i), true)
@@ -82,8 +83,8 @@
 	for i := range fleet {
 		fleet[i] = start(i)
 	}
-	var late []delayedUpdate
-	took := map[string]int{}
+	var delayed []delayedUpdate
+	applied := map[string]int{}
 	for range 20_000 {
 		now = now.Add(10 * time.Millisecond)
 		i := r.IntN(len(fleet))
@@ -99,52 +100,53 @@
 			fleet[i] = start(i)
 		case n < 90:
 			from := fleet[r.IntN(len(fleet))]
-			applyDelayed(c, from.updateFor(c.knownVersions(), r.IntN(4) == 0), s, took)
-		default: // the answer comes later
+			applyStateUpdate(c, from.updateFor(c.knownVersions(), r.IntN(4) == 0), s, applied)
+		default: // the reply arrives later
 			from := fleet[r.IntN(len(fleet))]
-			late = append(late, delayedUpdate{c, from.updateFor(c.knownVersions(), r.IntN(4) == 0)})
+			delayed = append(delayed, delayedUpdate{c, from.updateFor(c.knownVersions(), r.IntN(4) == 0)})
 		}
-		if len(late) > 5 {
-			j := r.IntN(len(late))
-			to := late[j].to
-			applyDelayed(to, late[j].update, s, took)
-			late = append(late[:j], late[j+1:]...)
-			checkTable(t, to, s.at[uint64(to.targets.Revision())])
+		if len(delayed) > 5 {
+			j := r.IntN(len(delayed))
+			to := delayed[j].to
+			applyStateUpdate(to, delayed[j].update, s, applied)
+			delayed = append(delayed[:j], delayed[j+1:]...)
+			checkTable(t, to, s.byRevision[uint64(to.targets.Revision())])
 		}
 		for _, c := range fleet {
 			c.targets.Expire(now)
 		}
-		checkTable(t, fleet[i], s.at[uint64(fleet[i].targets.Revision())])
+		checkTable(t, fleet[i], s.byRevision[uint64(fleet[i].targets.Revision())])
 	}
-	is.True(took["changes"] > 100 && took["all"] > 10 && took["store"] > 10)
+	is.True(applied["changes"] > 100 && applied["all"] > 10 && applied["store"] > 10)
 }
 
-// delayedUpdate is an answer under way.
+// delayedUpdate is a reply in transit.
 type delayedUpdate struct {
 	to     *controlState
 	update *StateUpdate
 }
 
-// applyDelayed lets an instance take another's news as Gateway.applyDelayed does.
-func applyDelayed(c *controlState, n *StateUpdate, s *fakeTargetStore, took map[string]int) {
+// applyStateUpdate applies an update to an instance as Gateway.applyUpdate does, and counts
+// its kind.
+func applyStateUpdate(c *controlState, update *StateUpdate, s *fakeTargetStore, applied map[string]int) {
 	switch {
-	case n == nil:
-	case n.ReadStore && c.targets.Listed():
-		took["store"]++
+	case update == nil:
+	case update.ReadStore && c.targets.Listed():
+		applied["store"]++
 		s.changes(uint64(c.targets.Revision())).apply(c)
-	case n.ReadStore:
+	case update.ReadStore:
 		s.list().apply(c)
-	case n.AllTargets:
-		took["all"]++
-		targetsListed{revision: n.TargetsRevision, targets: n.Targets, vanished: n.GoneTargets, from: fromPeer}.apply(c)
-	case n.TargetsRevision > 0:
-		took["changes"]++
-		targetsChanged{revision: n.TargetsRevision, present: n.Targets, gone: n.GoneTargets}.apply(c)
+	case update.AllTargets:
+		applied["all"]++
+		targetsListed{revision: update.TargetsRevision, targets: update.Targets, vanished: update.GoneTargets, from: fromPeer}.apply(c)
+	case update.TargetsRevision > 0:
+		applied["changes"]++
+		targetsChanged{revision: update.TargetsRevision, present: update.Targets, gone: update.GoneTargets}.apply(c)
 	}
 }
 
-// checkTable compares what an instance knows with what there was at its revision. Entries
-// that vanished together may be held for a while.
+// checkTable compares the targets that an instance knows with those that existed at its
+// revision. Entries that vanished together may be held for a while.
 func checkTable(t *testing.T, c *controlState, want map[string]uint64) {
 	t.Helper()
 	if !c.targets.Listed() {
@@ -153,16 +155,16 @@
 	for id, at := range want {
 		x := c.targets.Entry(id)
 		if x == nil || x.Revision != at {
-			t.Fatalf("at revision %d %s is not known as of %d: %v", c.targets.Revision(), id, at, x)
+			t.Fatalf("at revision %d: target %s is not known with revision %d: %v", c.targets.Revision(), id, at, x)
 		}
 	}
 	for _, x := range c.targets.Entries() {
 		id := x.Name
 		if c.targets.Entry(id) != x {
-			t.Fatalf("%s stands twice in the table, or not at all", id)
+			t.Fatalf("target %s is in the table twice, or not found by its id", id)
 		}
 		if _, there := want[id]; !there && !x.Held() {
-			t.Fatalf("at revision %d %s is known and gone", c.targets.Revision(), id)
+			t.Fatalf("at revision %d: target %s was removed but is still known", c.targets.Revision(), id)
 		}
 	}
 }
