--- a/internal/gateway/load_reports.go
+++ b/internal/gateway/load_reports.go
@@ -11,55 +11,60 @@
 	"github.com/shedhoist/shedhoist/internal/wait"
 )
 
-// Pace of telling one another what is under way at the targets.
+// Intervals of the load reports that instances exchange.
 const (
+	// loadReportInterval is the time between two reports in a small fleet.
 	loadReportInterval = 120 * time.Millisecond
-	// loadRelayInterval is the same in a large fleet, where a word takes three to five steps. At
-	// 50 ms a step the heaviest day of 82 instances is worth 0.15 more than at 120, as users
-	// value their answers, and no less than at 30; it costs an instance 0.3% of a core.
+	// loadRelayInterval is the same in a large fleet, where a report takes three to five
+	// hops. On the heaviest day of 82 instances, 50 ms per hop gains 0.15 in the value of
+	// the responses to users over 120 ms, and loses nothing against 30 ms. It costs an
+	// instance 0.3% of a core.
 	loadRelayInterval = 50 * time.Millisecond
-	// crossZoneEvery is how many steps pass from one word to another zone to the next: those
-	// bytes are dear, and at 295 instances before 256 targets these words are some half of
-	// them (estimated: ten instances, nine others, 3 kB, 20 a second). Half as often costs
-	// the heaviest day of 82 instances nothing (worth 0.562 against 0.545 and 0.547); a
-	// quarter as often costs it 0.03.
+	// crossZoneEvery is the number of rounds per report to another zone. Traffic between
+	// zones is expensive, and with 295 instances and 256 targets these reports are about
+	// half of it (estimated: ten instances, nine peers each, 3 kB, 20 per second). Every
+	// second round costs the heaviest day of 82 instances nothing (value 0.562 against 0.545
+	// and 0.547); every fourth round costs it 0.03.
 	crossZoneEvery = 2
-	// loadReportTTL is how long a peer's word counts; it fades until then, since targets
-	// work on what waits.
+	// loadReportTTL is how long a peer's report counts. Its weight decreases until then,
+	// since targets meanwhile work off their queues.
 	loadReportTTL = 360 * time.Millisecond
 )
 
-// LoadReport is what an instance has under way at all targets. In a large fleet it includes
-// what the others have from whom the receiver does not hear but by way of this one.
+// LoadReport is the work in flight of an instance at all targets. In a large fleet it
+// includes the work of the instances whose reports reach the receiver only through the
+// sender.
 type LoadReport struct {
 	From    string                  `cbor:"1,keyasint"`
-	Seq     uint64                  `cbor:"2,keyasint"` // rises with each word of a process
+	Seq     uint64                  `cbor:"2,keyasint"` // increases with each report of a process
 	Targets []loadreport.TargetWork `cbor:"3,keyasint,omitempty"`
-	// Silent are targets that answer nothing, by what is told in the same way.
+	// Silent are targets that do not respond, including those that the sender relays.
 	Silent []loadreport.TargetAge `cbor:"4,keyasint,omitempty"`
-	// Ack are targets that others told to be silent and that have answered, AgeMS ago.
+	// Answered are targets that others reported silent and that responded AgeMS ago.
 	Answered []loadreport.TargetAge `cbor:"6,keyasint,omitempty"`
-	// StorePositions is up to where the teller of a small fleet knows the cache stores: what it asked for
-	// before it knew as much, and is not over, is in Late.
+	// StorePositions is the position in each cache store up to which the sender, in a small
+	// fleet, has read. Saves that it requested before it read that far, and that are still
+	// unfinished, are in PendingSaves.
 	StorePositions []StorePosition `cbor:"7,keyasint,omitempty"`
-	// PendingSaves are parts whose saves are late, by what is told in the same way.
+	// PendingSaves are parts whose saves are still pending, including those that the sender
+	// relays.
 	PendingSaves []loadreport.Key `cbor:"5,keyasint,omitempty"`
 }
 
-// Ack is the answer to Loads.
+// Ack is the empty reply to a LoadReport.
 type Ack struct{}
 
-// Loads takes a peer's word.
+// Loads applies a peer's load report.
 func (h *peerHandler) Loads(req *LoadReport, _ *Ack) error {
 	h.g.peerLoads.Apply(req.From, req.Seq, req.Targets, h.g.now())
 	h.g.peerSilences.Apply(req.From, req.Seq, req.Silent, h.g.now())
 	h.g.peerSilences.ApplyResponses(req.From, req.Seq, req.Answered, h.g.now())
 	h.g.peerPendingSaves.Apply(req.From, req.Seq, req.PendingSaves, h.g.now())
-	h.g.storePositions.record(req.From, req.Seq, req.StorePositions, h.g.now()) // after Late
+	h.g.storePositions.record(req.From, req.Seq, req.StorePositions, h.g.now()) // after PendingSaves, see LoadReport.StorePositions
 	return nil
 }
 
-// ownLoads is what this instance has under way.
+// ownLoads returns the work in flight of this instance, by target.
 func (g *Gateway) ownLoads() loadreport.WorkByTarget {
 	out := loadreport.WorkByTarget{}
 	g.upstream.inflight.Each(func(target string, load *inflight.Load) {
@@ -68,8 +73,8 @@
 	return out
 }
 
-// ownSilentTargets are the targets that have answered this instance nothing for as long as an
-// answer may take.
+// ownSilentTargets returns the targets that have sent this instance no response for at least
+// silenceThreshold.
 func (g *Gateway) ownSilentTargets() []loadreport.TargetAge {
 	var out []loadreport.TargetAge
 	now := g.now()
@@ -81,32 +86,32 @@
 	return out
 }
 
-// ownAnswered are the targets that others tell to be silent and that have answered this instance
-// since.
+// ownAnswered returns the targets that others report silent and that have responded to this
+// instance since.
 func (g *Gateway) ownAnswered(silences map[string][]loadreport.TargetAge) []loadreport.TargetAge {
 	var out []loadreport.TargetAge
 	now := g.now()
-	since := map[loadreport.Key]int64{} // for how many ms
-	for _, told := range silences {
-		for _, s := range told {
-			since[s.Target] = max(since[s.Target], s.AgeMS)
+	reportedSilentMS := map[loadreport.Key]int64{} // longest reported silence
+	for _, reported := range silences {
+		for _, s := range reported {
+			reportedSilentMS[s.Target] = max(reportedSilentMS[s.Target], s.AgeMS)
 		}
 	}
-	if len(since) == 0 {
+	if len(reportedSilentMS) == 0 {
 		return nil
 	}
 	g.upstream.inflight.Each(func(target string, load *inflight.Load) {
 		k := loadreport.KeyOf(target)
-		ms, told := since[k]
-		ago := now.Sub(load.Responses.LastActivity()).Milliseconds()
-		if told && ago < ms && len(out) < loadreport.MaxUnresponsive {
-			out = append(out, loadreport.TargetAge{Target: k, AgeMS: ago})
+		silentMS, reported := reportedSilentMS[k]
+		answeredMS := now.Sub(load.Responses.LastActivity()).Milliseconds()
+		if reported && answeredMS < silentMS && len(out) < loadreport.MaxUnresponsive {
+			out = append(out, loadreport.TargetAge{Target: k, AgeMS: answeredMS})
 		}
 	})
 	return out
 }
 
-// loadReportPace is the time between two words.
+// loadReportPace returns the time between two reports.
 func (g *Gateway) loadReportPace() time.Duration {
 	if g.view.Load().Tree.small {
 		return loadReportInterval
@@ -114,70 +119,73 @@
 	return loadRelayInterval
 }
 
-// reportLoads tells the neighbours what is under way, which targets are silent and which saves
-// are late, as long as there is any.
+// reportLoads sends load reports to the neighbours: work in flight, silent targets and
+// pending saves. A neighbour gets no report if it would be empty, unless the one before was
+// not.
 func (g *Gateway) reportLoads(ctx context.Context) {
-	told := map[string]bool{} // neighbours whose last word was not empty
+	lastNonEmpty := map[string]bool{} // neighbours whose last report was not empty
 	for seq := uint64(1); wait.For(ctx, g.loadReportPace()); seq++ {
-		own, others := g.ownLoads(), g.peerLoads.Reports(g.now())
-		silent, silences := g.ownSilentTargets(), g.peerSilences.Reports(g.now())
-		heard, hearers := g.ownAnswered(silences), g.peerSilences.ResponseReports(g.now())
-		seen := g.cache.ownPositions() // before the saves
-		late, lates := g.cache.ownPendingSaves(), g.peerPendingSaves.Reports(g.now())
+		ownLoads, peerLoads := g.ownLoads(), g.peerLoads.Reports(g.now())
+		ownSilent, peerSilences := g.ownSilentTargets(), g.peerSilences.Reports(g.now())
+		ownAnswered, peerAnswered := g.ownAnswered(peerSilences), g.peerSilences.ResponseReports(g.now())
+		positions := g.cache.ownPositions() // before the pending saves, see LoadReport.StorePositions
+		ownPending, peerPending := g.cache.ownPendingSaves(), g.peerPendingSaves.Reports(g.now())
 		tree := g.view.Load().Tree
 		for _, n := range tree.neighbours() {
 			if tree.isCrossZone(n.Member) && seq%crossZoneEvery != 0 {
 				continue
 			}
-			l := &LoadReport{From: g.settings().Name, Seq: seq, Targets: n.loadsToReport(own, others).Report(), Silent: n.silencesToReport(silent, silences), Answered: n.answeredToReport(heard, hearers), PendingSaves: n.pendingSavesToReport(late, lates), StorePositions: seen}
-			news := len(l.Targets)+len(l.Silent)+len(l.Answered)+len(l.PendingSaves)+len(l.StorePositions) > 0
-			if !news && !told[n.Name] {
+			report := &LoadReport{From: g.settings().Name, Seq: seq, Targets: n.loadsToReport(ownLoads, peerLoads).Report(), Silent: n.silencesToReport(ownSilent, peerSilences), Answered: n.answeredToReport(ownAnswered, peerAnswered), PendingSaves: n.pendingSavesToReport(ownPending, peerPending), StorePositions: positions}
+			nonEmpty := len(report.Targets)+len(report.Silent)+len(report.Answered)+len(report.PendingSaves)+len(report.StorePositions) > 0
+			if !nonEmpty && !lastNonEmpty[n.Name] {
 				continue
 			}
-			told[n.Name] = news
-			g.spawn(func() { g.sendLoadReport(n.Member, l) })
+			lastNonEmpty[n.Name] = nonEmpty
+			g.spawn(func() { g.sendLoadReport(n.Member, report) })
 		}
 	}
 }
 
-// loadsToReport is what a neighbour is told: all that this instance knows of but what the neighbour
-// told it, and what the neighbour hears for itself.
+// loadsToReport returns the loads for a neighbour: all that this instance knows, except what
+// the neighbour reported itself or receives directly.
 func (n neighbour) loadsToReport(own loadreport.WorkByTarget, others map[string]loadreport.WorkByTarget) loadreport.WorkByTarget {
 	out := maps.Clone(own)
-	for from, sums := range others {
+	for from, loads := range others {
 		if n.relayedFrom[from] {
-			out.AddAll(sums)
+			out.AddAll(loads)
 		}
 	}
 	return out
 }
 
-// silencesToReport is share for silent targets: the longest silence counts.
+// silencesToReport returns the silent targets for a neighbour: the longest silence counts.
 func (n neighbour) silencesToReport(own []loadreport.TargetAge, others map[string][]loadreport.TargetAge) []loadreport.TargetAge {
 	return n.mergeTimes(own, others, func(a, b int64) int64 { return max(a, b) })
 }
 
-// answeredToReport is share for targets that answer: the latest answer counts.
+// answeredToReport returns the targets that responded for a neighbour: the latest response
+// counts.
 func (n neighbour) answeredToReport(own []loadreport.TargetAge, others map[string][]loadreport.TargetAge) []loadreport.TargetAge {
 	return n.mergeTimes(own, others, func(a, b int64) int64 { return min(a, b) })
 }
 
-// mergeTimes is share for what is told with a time; which says which of two counts.
-func (n neighbour) mergeTimes(own []loadreport.TargetAge, others map[string][]loadreport.TargetAge, which func(a, b int64) int64) []loadreport.TargetAge {
+// mergeTimes merges own and relayed reports that carry a time. choose selects which of two
+// times for the same target counts.
+func (n neighbour) mergeTimes(own []loadreport.TargetAge, others map[string][]loadreport.TargetAge, choose func(a, b int64) int64) []loadreport.TargetAge {
 	times := map[loadreport.Key]int64{}
-	add := func(told []loadreport.TargetAge) {
-		for _, t := range told {
+	add := func(reported []loadreport.TargetAge) {
+		for _, t := range reported {
 			if ms, known := times[t.Target]; known {
-				times[t.Target] = which(ms, t.AgeMS)
+				times[t.Target] = choose(ms, t.AgeMS)
 				continue
 			}
 			times[t.Target] = t.AgeMS
 		}
 	}
 	add(own)
-	for from, told := range others {
+	for from, reported := range others {
 		if n.relayedFrom[from] {
-			add(told)
+			add(reported)
 		}
 	}
 	var out []loadreport.TargetAge
@@ -190,10 +198,10 @@
 	return out
 }
 
-// sendLoadReport sends one word. A lost one is replaced by the next; silence is the
-// business of probes.
-func (g *Gateway) sendLoadReport(m member.Member, l *LoadReport) {
+// sendLoadReport sends one report and ignores errors: the next report replaces a lost one,
+// and probes detect failed peers.
+func (g *Gateway) sendLoadReport(m member.Member, report *LoadReport) {
 	ctx, cancel := context.WithTimeout(g.ctx, loadReportTTL)
 	defer cancel()
-	_ = g.pool.Call(ctx, m.Address, peerService+".Loads", l, &Ack{})
+	_ = g.pool.Call(ctx, m.Address, peerService+".Loads", report, &Ack{})
 }
--- a/internal/gateway/relay_tree.go
+++ b/internal/gateway/relay_tree.go
@@ -8,49 +8,51 @@
 	"github.com/shedhoist/shedhoist/internal/core/rendezvous"
 )
 
-// Shape of the tree.
+// Shape of the relay tree.
 const (
-	// pollersPerZone is how many instances of a zone hear for themselves: one may fail.
+	// pollersPerZone is how many instances of a zone poll the sources themselves: one may
+	// fail.
 	pollersPerZone = 2
-	// maxStorePollers is how many instances in all may follow one cache store; stores have
-	// been seen to bear 12 polls at a time.
+	// maxStorePollers is how many instances of all zones may poll one cache store. A store
+	// has been observed to sustain 12 concurrent polls.
 	maxStorePollers = 10
-	// treeFanout is how many instances one other serves: each takes the directory some
-	// three times a second, which then costs half a percent of a core.
+	// treeFanout is how many children an instance serves. Each pulls the directory about
+	// three times a second, which in all costs half a percent of a core.
 	treeFanout = 12
-	// treeRole ranks the instances of a zone.
+	// treeRole is the rendezvous key that ranks the instances of a zone.
 	treeRole = "directory"
 )
 
-// relayTree is how the live instances of a large fleet pass things on: in each zone a few,
-// the tops, hear for themselves, and each instance serves up to treeFanout others of its
-// zone. Instances that know the same live members agree on it without a message. In a
-// small fleet all hear for themselves. A tree is not changed once it is made.
+// relayTree determines how the live instances of a large fleet relay state. In each zone a
+// few instances, the tops, poll the sources themselves, and each instance serves up to
+// treeFanout others of its zone. Instances that know the same live members compute the same
+// tree without exchanging messages. In a small fleet all instances poll themselves. A
+// relayTree is immutable.
 type relayTree struct {
 	self          string
-	zone          string // this instance's
+	zone          string // zone of this instance
 	small         bool
-	tops          int                        // of each zone
-	zones         map[string][]member.Member // live members, the highest rank first
-	zoneMembers   []member.Member            // those of the own zone
-	ownIndex      int                        // index in near; -1: this instance is no live member
+	tops          int                        // number of tops per zone
+	zones         map[string][]member.Member // live members by zone, highest rank first
+	zoneMembers   []member.Member            // live members of the own zone
+	ownIndex      int                        // index in zoneMembers; -1: this instance is not a live member
 	neighbourList []neighbour                // see neighbours
 }
 
-// newRelayTree works the tree out from the live members.
+// newRelayTree computes the tree from the live members.
 func newRelayTree(alive []member.Member, self member.Member) *relayTree {
 	t := &relayTree{self: self.Name, zone: self.Zone, small: len(alive) <= maxSmallFleet, zones: map[string][]member.Member{}}
 	for _, m := range alive {
 		t.zones[m.Zone] = append(t.zones[m.Zone], m)
 	}
-	for _, near := range t.zones {
-		scores := make(map[string]uint64, len(near))
-		for _, m := range near {
+	for _, zoneMembers := range t.zones {
+		scores := make(map[string]uint64, len(zoneMembers))
+		for _, m := range zoneMembers {
 			scores[m.Name] = rendezvous.Score(m.Name, treeRole)
 		}
-		slices.SortFunc(near, func(a, b member.Member) int { return cmp.Compare(scores[b.Name], scores[a.Name]) })
+		slices.SortFunc(zoneMembers, func(a, b member.Member) int { return cmp.Compare(scores[b.Name], scores[a.Name]) })
 	}
-	// An instance that stops, alone, knows of no zone at all.
+	// An instance that shuts down while it is the only one has no zones at all.
 	t.tops = max(min(pollersPerZone, maxStorePollers/max(len(t.zones), 1)), 1)
 	t.zoneMembers = t.zones[self.Zone]
 	t.ownIndex = slices.IndexFunc(t.zoneMembers, func(m member.Member) bool { return m.Name == self.Name })
@@ -58,13 +60,13 @@
 	return t
 }
 
-// treePosition is an instance's place in the tree.
+// treePosition is the position of an instance in the tree.
 type treePosition struct {
-	polls   bool     // it hears for itself
-	sources []string // addresses of those it asks else, the preferred one first
+	polls   bool     // the instance polls the sources itself
+	sources []string // otherwise the addresses of the instances it pulls from, preferred one first
 }
 
-// position is this instance's.
+// position returns the position of this instance.
 func (t *relayTree) position() treePosition {
 	if t.small || t.ownIndex < t.tops {
 		return treePosition{polls: true}
@@ -79,10 +81,10 @@
 	return out
 }
 
-// parent is the instance that serves this one, which is no top.
+// parent returns the instance that serves this one. This instance must not be a top.
 func (t *relayTree) parent() member.Member { return t.zoneMembers[(t.ownIndex-t.tops)/treeFanout] }
 
-// children are those that this instance serves; none in a small fleet.
+// children returns the instances that this one serves; none in a small fleet.
 func (t *relayTree) children() []member.Member {
 	if t.small || t.ownIndex < 0 {
 		return nil
@@ -91,11 +93,11 @@
 	return t.zoneMembers[from:min(from+treeFanout, len(t.zoneMembers))]
 }
 
-// otherTops are the tops of all zones but this instance.
+// otherTops returns the tops of all zones except this instance.
 func (t *relayTree) otherTops() []member.Member {
 	var out []member.Member
-	for _, near := range t.zones {
-		for _, m := range near[:min(t.tops, len(near))] {
+	for _, zoneMembers := range t.zones {
+		for _, m := range zoneMembers[:min(t.tops, len(zoneMembers))] {
 			if m.Name != t.self {
 				out = append(out, m)
 			}
@@ -104,29 +106,30 @@
 	return out
 }
 
-// neighbour is an instance with which this one exchanges what is under way at targets.
+// neighbour is an instance with which this one exchanges load reports.
 type neighbour struct {
 	member.Member
-	relayedFrom map[string]bool // names of the neighbours whose words are passed on to it
+	relayedFrom map[string]bool // names of the neighbours whose reports are relayed to it
 }
 
-// neighbours are all others in a small fleet. In a large one they are those that this
-// instance serves and the one that serves it, and for a top all other tops: everybody hears
-// of everybody in one way, with a word to some fifteen others each time at most.
+// neighbours returns the peers to exchange reports with. In a small fleet these are all
+// others. In a large one they are the children and the parent of this instance, and for a
+// top its children and all other tops. The reports of an instance so reach each other one on
+// exactly one path, and an instance sends to about fifteen others per round at most.
 func (t *relayTree) neighbours() []neighbour { return t.neighbourList }
 
-// isCrossZone says whether words to a member are told less often: it is in another zone of a large
-// fleet.
+// isCrossZone reports whether a member is in another zone of a large fleet, so that reports
+// to it are sent less often.
 func (t *relayTree) isCrossZone(m member.Member) bool { return !t.small && m.Zone != t.zone }
 
-// buildNeighbours works the neighbours out. Tops, and all instances of a small fleet, hear
-// one another directly, so that their words are not passed on among them.
+// buildNeighbours computes the neighbours. Tops, and all instances of a small fleet, receive
+// each other's reports directly, so that these are not relayed among them.
 func (t *relayTree) buildNeighbours() []neighbour {
 	var direct, served []member.Member
 	switch {
 	case t.small:
-		for _, near := range t.zones {
-			direct = append(direct, slices.DeleteFunc(slices.Clone(near), func(m member.Member) bool { return m.Name == t.self })...)
+		for _, zoneMembers := range t.zones {
+			direct = append(direct, slices.DeleteFunc(slices.Clone(zoneMembers), func(m member.Member) bool { return m.Name == t.self })...)
 		}
 	case t.ownIndex < 0:
 		return nil
@@ -149,18 +152,18 @@
 	return out
 }
 
-// nameSet is the set of the names of all members but one.
-func nameSet(members []member.Member, but string) map[string]bool {
+// nameSet returns the names of all members except one.
+func nameSet(members []member.Member, except string) map[string]bool {
 	out := map[string]bool{}
 	for _, m := range members {
-		if m.Name != but {
+		if m.Name != except {
 			out[m.Name] = true
 		}
 	}
 	return out
 }
 
-// pollers names the instances that hear for themselves.
+// pollers returns the names of the instances that poll the sources themselves.
 func (t *relayTree) pollers() []string {
 	var out []string
 	for zone := range t.zones {
@@ -171,11 +174,11 @@
 	return out
 }
 
-// pollersIn are the instances of a zone that hear for themselves.
+// pollersIn returns the instances of a zone that poll the sources themselves.
 func (t *relayTree) pollersIn(zone string) []member.Member {
-	near := t.zones[zone]
+	zoneMembers := t.zones[zone]
 	if t.small {
-		return near
+		return zoneMembers
 	}
-	return near[:min(t.tops, len(near))]
+	return zoneMembers[:min(t.tops, len(zoneMembers))]
 }
--- a/internal/gateway/relay_tree_test.go
+++ b/internal/gateway/relay_tree_test.go
@@ -7,38 +7,39 @@
 	"github.com/matryer/is"
 )
 
-// TestTreeReachesAll: what one instance hears first reaches all by the tops of the zones
-// and those that each serves, with few messages an instance.
+// TestTreeReachesAll guards against instances that an update does not reach: whichever
+// instance learns of it first, it must reach all others through the tops of the zones and
+// their children, at most twice, with few messages per instance.
 func TestTreeReachesAll(t *testing.T) {
 	for _, c := range []struct{ n, zones int }{{17, 3}, {59, 3}, {91, 4}, {300, 3}, {330, 7}, {1000, 3}} {
 		t.Run(fmt.Sprintf("%d in %d", c.n, c.zones), func(t *testing.T) {
 			is := is.New(t)
 			all := membersOf(c.n, c.zones)
 			for _, first := range []int{0, c.n / 2, c.n - 1} {
-				told := map[string]int{}
+				received := map[string]int{}
 				tops := newRelayTree(all, all[first]).otherTops()
 				is.True(len(tops) <= maxStorePollers)
 				for _, m := range tops {
-					told[m.Name]++
+					received[m.Name]++
 				}
 				for _, m := range all {
 					children := newRelayTree(all, m).children()
 					is.True(len(children) <= treeFanout)
 					for _, child := range children {
 						is.Equal(child.Zone, m.Zone)
-						told[child.Name]++
+						received[child.Name]++
 					}
 				}
-				told[all[first].Name]++ // it knows
+				received[all[first].Name]++ // the source
 				for _, m := range all {
-					is.True(told[m.Name] >= 1 && told[m.Name] <= 2)
+					is.True(received[m.Name] >= 1 && received[m.Name] <= 2)
 				}
 			}
 		})
 	}
 }
 
-// TestSmallTree: in a small fleet nobody serves another.
+// TestSmallTree checks that in a small fleet no instance has children.
 func TestSmallTree(t *testing.T) {
 	is := is.New(t)
 	all := membersOf(maxSmallFleet, 3)
--- a/internal/gateway/suspects_outbox.go
+++ b/internal/gateway/suspects_outbox.go
@@ -7,18 +7,20 @@
 	"github.com/shedhoist/shedhoist/internal/core/quarantine"
 )
 
-// outboxDelay is how long words on crashes wait for others, on each step through the fleet: when
-// a zone's targets go, hundreds come within a moment, of which a neighbour gets one message.
+// outboxDelay is how long crash reports wait to be batched, on each hop through the fleet:
+// when the targets of a zone fail, hundreds arrive at once, which a neighbour gets in one
+// message.
 const outboxDelay = 25 * time.Millisecond
 
-// outbox holds words on crashes until they are told. The zero value is empty.
+// outbox holds crash reports until they are sent. The zero value is empty.
 type outbox struct {
 	mu      sync.Mutex
-	reports map[string]map[quarantine.Key]quarantine.Report // by the neighbour they came from; "": this instance's own
+	reports map[string]map[quarantine.Key]quarantine.Report // by the neighbour that sent them; "": this instance's own
 }
 
-// add takes words to be told; a later word on a key replaces the one before.
-func (o *outbox) add(words []quarantine.Report, from string) {
+// add queues reports from a neighbour, or with from "" this instance's own. A later report on
+// a key replaces the one before.
+func (o *outbox) add(reports []quarantine.Report, from string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.reports == nil {
@@ -27,30 +29,30 @@
 	if o.reports[from] == nil {
 		o.reports[from] = map[quarantine.Key]quarantine.Report{}
 	}
-	for _, w := range words {
-		o.reports[from][w.Key] = w
+	for _, report := range reports {
+		o.reports[from][report.Key] = report
 	}
 }
 
-// drain empties the outbox, and returns what each neighbour is to be told.
+// drain empties the outbox and returns the reports for each neighbour, by its name.
 func (o *outbox) drain(neighbours []neighbour) map[string][]quarantine.Report {
 	o.mu.Lock()
-	words := o.reports
+	bySource := o.reports
 	o.reports = nil
 	o.mu.Unlock()
 	out := map[string][]quarantine.Report{}
 	for _, n := range neighbours {
-		for from, byKey := range words {
+		for from, byKey := range bySource {
 			if from != "" && !n.relayedFrom[from] {
 				continue
 			}
-			for _, w := range byKey {
-				out[n.Name] = append(out[n.Name], w)
+			for _, report := range byKey {
+				out[n.Name] = append(out[n.Name], report)
 			}
 		}
 	}
-	for name, told := range out {
-		out[name] = quarantine.TopReports(told)
+	for name, reports := range out {
+		out[name] = quarantine.TopReports(reports)
 	}
 	return out
 }
