--- a/internal/gateway/blackholed_watchers_test.go
+++ b/internal/gateway/blackholed_watchers_test.go
@@ -10,11 +10,12 @@
 	"github.com/shedhoist/shedhoist/internal/catalog"
 )
 
-// propagationBound is the aim: a change is in force at all instances that reach the store, or a
-// peer that does, so long after it was acknowledged.
+// propagationBound is the required bound: this long after a change was acknowledged, it is in
+// force at all instances that reach the store or a peer that does.
 const propagationBound = 3 * time.Second
 
-// TestBlackholedWatchers guards against changes that come late since the store is silent to all that watch it.
+// TestBlackholedWatchers guards against changes that arrive late because the store does not
+// answer any of the watchers, without closing their connections.
 func TestBlackholedWatchers(t *testing.T) {
 	for _, n := range []int{60, 91} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/gateway/staleness.go
+++ b/internal/gateway/staleness.go
@@ -13,83 +13,94 @@
 	"github.com/shedhoist/shedhoist/internal/wait"
 )
 
-// In a large fleet most instances ask the object store nothing: the watchers do, and the
-// others go by their news. No news may mean that nothing changed, or that the store answers
-// no watcher any more, which it may do without a word. So each instance keeps the age of its
-// copies, see package fresh: ages come from whoever asked the store, down the tree. An
-// instance whose copy has grown old asks the store itself. With a third of 91 instances cut
-// off from the store, the watchers first, a change is in force at all within 2 s; where the
-// successors of lost watchers were waited for it took up to 4 s, and more where these were
-// cut off as well.
-
-// Pace of ages, and what follows from them.
+// In a large fleet most instances do not read the object store: the watchers do, and the
+// others rely on their updates. The absence of updates may mean that nothing changed, or that
+// the store answers no watcher any more, possibly without closing connections. So each
+// instance tracks the staleness of its copies, see package staleness: staleness reports
+// originate at instances that read the store and are relayed down the tree. An instance whose
+// copy is too stale reads the store itself. With a third of 91 instances unable to reach the
+// store, the watchers first, a change is in force at all instances within 2 s. Waiting for
+// the successors of the lost watchers instead took up to 4 s, and more where these could not
+// reach the store either.
+
+// Intervals of staleness reports, and thresholds derived from them.
 const (
-	// stalenessPollInterval is how often a top asks the watchers for their ages. Others get them with
-	// the directory of cache stores, see pullInterval, and everybody with probes.
+	// stalenessPollInterval is how often a top requests the staleness reports of the
+	// watchers. Other instances receive reports with the directory of cache stores, see
+	// pullInterval, and all instances receive them with probes.
 	stalenessPollInterval = 250 * time.Millisecond
-	// stalenessPolledTops is how many other tops it asks too: one of them may have asked the store
-	// where no watcher could.
+	// stalenessPolledTops is how many other tops it polls as well: one of them may have read
+	// the store when no watcher could.
 	stalenessPolledTops = 2
-	// stalenessPollTimeout bounds the question: ages that come later than the next ones are no use.
+	// stalenessPollTimeout bounds one poll: reports that arrive after the next ones are
+	// useless.
 	stalenessPollTimeout = 500 * time.Millisecond
 
-	// topStaleMargin is how much older than a watcher's watch of a kind lasts a top's copy must be
-	// for the top to ask the store itself. One watcher alone keeps it younger, since it is
-	// asked every stalenessPollInterval. A configuration is asked for after 1.2 s then, which leaves more
-	// than a second of the 2 to 3 s that a change may take for the spread of what is found.
+	// topStaleMargin is added to a watcher's watch timeout for a kind: a top whose copy is
+	// older than the sum reads the store itself. One working watcher is enough to keep the
+	// copy younger, since it is polled every stalenessPollInterval. A configuration is thus
+	// read after 1.2 s, which leaves more than one of the 2 to 3 s that a change may take
+	// for spreading it.
 	topStaleMargin = 400 * time.Millisecond
-	// otherStaleMargin is the same for the others, which hear of what tops find within two steps
-	// of the tree. Only where the tops are cut off too it is reached.
+	// otherStaleMargin is the same for other instances. They receive what tops find within
+	// two hops of the tree, so the margin is only exceeded if no top reaches the store
+	// either.
 	otherStaleMargin = 1100 * time.Millisecond
-	// staleDelayStep is how much later each staleDelayGroup of instances, by rank, asks than the one
-	// before: what the first find reaches the rest, and few ask in vain. maxStaleDelay bounds
-	// that, so that no rank is so low that a change comes too late.
+	// staleDelayStep is how much later each group of staleDelayGroup instances, by rank,
+	// reads the store than the group before: what the first groups find reaches the rest, so
+	// that few instances read needlessly. maxStaleDelay bounds the delay, so that changes do
+	// not arrive too late at instances of low rank.
 	staleDelayStep  = 50 * time.Millisecond
 	staleDelayGroup = 8
 	maxStaleDelay   = 300 * time.Millisecond
-	// minStalePoll is the shortest pause between two looks at the age.
+	// minStalePoll is the minimum pause between two checks of the age.
 	minStalePoll = 10 * time.Millisecond
 
-	// firstSourceTTL is how long what changes after such a question counts as found by it: all
-	// three kinds are asked for at once, and answers of a slow store take a quarter of it.
+	// firstSourceTTL is how long after an instance read the store because of a stale copy its
+	// changes are attributed to that read: all three kinds are read at the same time, and
+	// responses of a slow store take a quarter of this time.
 	firstSourceTTL = time.Second
 
-	// maxAnswerTransit is the longest time that a watch's answer with changes is taken to have been
-	// under way: a slow store's answers take 60 times the usual 4 ms.
-	maxAnswerTransit = 300 * time.Millisecond
+	// maxResponseTransit is the longest assumed transit time of a watch response with changes:
+	// responses of a slow store take 60 times the usual 4 ms.
+	maxResponseTransit = 300 * time.Millisecond
 
-	// isolationTicks is for how many ticks of the control goroutine an instance must seem cut
-	// off: one that stood still for a while hears its peers within that time.
+	// isolationTicks is the number of consecutive ticks of the control goroutine for which an
+	// instance must appear isolated: a process that was paused for a while receives messages
+	// of its peers within that time.
 	isolationTicks = 6
 )
 
-// watchValidAt is as of when a watch's answer holds. One without changes comes when the watch
-// has waited its time; one with changes was under way for a while, or the call was.
-func watchValidAt(asked, answered time.Time, waited time.Duration, changes int) time.Time {
-	if changes == 0 && answered.Sub(asked) >= waited {
-		return asked.Add(waited)
+// watchValidAt returns the time as of which a watch response is valid. A response without
+// changes that arrives after the watch's timeout is valid as of that timeout. Any other may
+// have spent up to maxResponseTransit in transit, but is not older than the request.
+func watchValidAt(requestedAt, respondedAt time.Time, timeout time.Duration, changes int) time.Time {
+	if changes == 0 && respondedAt.Sub(requestedAt) >= timeout {
+		return requestedAt.Add(timeout)
 	}
-	if at := answered.Add(-maxAnswerTransit); at.After(asked) {
+	if at := respondedAt.Add(-maxResponseTransit); at.After(requestedAt) {
 		return at
 	}
-	return asked
+	return requestedAt
 }
 
-// confirmComplete notes that all that the object store holds of a kind was told, as of a moment. It
-// goes the way of what was told, and returns when both have taken effect.
+// confirmComplete records that everything the object store held of a kind at a time has been
+// received. It goes through the control goroutine behind the received events, and returns
+// when both have been applied.
 func (g *Gateway) confirmComplete(k staleness.Kind, at time.Time) {
 	g.queryControl(func(c *controlState) {
 		c.noteStaleness()
-		have := c.stateVersions()
-		newest := [...]uint64{staleness.Config: have.Config, staleness.Targets: uint64(have.Targets), staleness.Versions: uint64(have.NamedVersions), staleness.Evacuations: uint64(have.Evacuations)}
+		versions := c.stateVersions()
+		newest := [...]uint64{staleness.Config: versions.Config, staleness.Targets: uint64(versions.Targets), staleness.Versions: uint64(versions.NamedVersions), staleness.Evacuations: uint64(versions.Evacuations)}
 		c.staleness.Confirm(k, newest[k], at)
 	})
 }
 
-// noteStaleness tells the book of ages up to where the copies are complete.
+// noteStaleness passes the revisions up to which the copies are complete to the staleness
+// tracker.
 func (c *controlState) noteStaleness() {
 	if c.staleness == nil {
-		return // nobody asks for ages
+		return // staleness is not tracked
 	}
 	known := c.knownVersions()
 	c.staleness.SetCopyRevision(staleness.Config, known.Config)
@@ -98,7 +109,7 @@
 	c.staleness.SetCopyRevision(staleness.Evacuations, uint64(known.Evacuations))
 }
 
-// staleAge is the age of a copy from which this instance asks the object store itself.
+// staleAge returns the age of a copy from which this instance reads the object store itself.
 func (v *View) staleAge(f feed) time.Duration {
 	if v.Tree.position().polls {
 		return f.watcherTimeout + topStaleMargin
@@ -106,28 +117,29 @@
 	return f.watcherTimeout + otherStaleMargin + min(time.Duration(v.WatchRank/staleDelayGroup)*staleDelayStep, maxStaleDelay)
 }
 
-// timeUntilStale is how long a feed's copy will still be young enough, if nothing is heard.
+// timeUntilStale returns how long a feed's copy stays recent enough if no report arrives.
 func (g *Gateway) timeUntilStale(f feed) time.Duration {
 	age, known := f.age()
 	if !known {
-		return updatePoll // it was listed just now, and that is to be noted yet
+		return updatePoll // it has just been listed, which is not recorded yet
 	}
 	return g.view.Load().staleAge(f) - age
 }
 
-// updatePause is how long an instance that goes by news waits before it looks again whether it
-// still may.
-func (g *Gateway) updatePause(f feed, news bool) time.Duration {
-	if !news || f.age == nil {
+// updatePause returns how long an instance that relies on peers waits before it checks again
+// whether it still may.
+func (g *Gateway) updatePause(f feed, viaPeers bool) time.Duration {
+	if !viaPeers || f.age == nil {
 		return updatePoll
 	}
 	return min(max(g.timeUntilStale(f), minStalePoll), updatePoll)
 }
 
-// checkStale says whether an instance that goes by news must ask the object store about a kind.
-// If the watchers are lost for one that is watched closely, they are for the others too.
-func (g *Gateway) checkStale(f feed, news bool) bool {
-	if !news || f.age == nil || g.timeUntilStale(f) > 0 {
+// checkStale reports whether an instance that relies on peers must read a kind from the
+// object store, and then also triggers a read of the kinds in f.alsoRefresh: watchers that
+// are lost for a kind with a short watch timeout are lost for the others too.
+func (g *Gateway) checkStale(f feed, viaPeers bool) bool {
+	if !viaPeers || f.age == nil || g.timeUntilStale(f) > 0 {
 		return false
 	}
 	age, _ := f.age()
@@ -140,26 +152,27 @@
 	return true
 }
 
-// firstSourceUntil says that what comes next from the object store may be news to all.
+// storeReadBegun is the event that this instance reads the object store because its copy is
+// stale: changes that it receives next may be new to all instances.
 type storeReadBegun struct{}
 
 func (storeReadBegun) apply(c *controlState) { c.firstSourceUntil = c.now().Add(firstSourceTTL) }
 
-// AgesRequest asks an instance for the ages of its copies.
+// AgesRequest asks an instance for the staleness of its copies.
 type AgesRequest struct{}
 
-// AgesReply is the answer.
+// AgesReply is the reply to an AgesRequest.
 type AgesReply struct {
 	Staleness []staleness.Report `cbor:"1,keyasint,omitempty"`
 }
 
-// Ages answers a top's question.
+// Ages returns the staleness reports of this instance.
 func (h *peerHandler) Ages(_ *AgesRequest, out *AgesReply) error {
 	out.Staleness = h.g.staleness.Reports(h.g.now())
 	return nil
 }
 
-// pollStaleness keeps the ages at a top of the tree up to date.
+// pollStaleness keeps the staleness reports of a top of the relay tree up to date.
 func (g *Gateway) pollStaleness(ctx context.Context) {
 	for wait.For(ctx, stalenessPollInterval*3/4+rand.N(stalenessPollInterval/2)) {
 		v := g.view.Load()
@@ -172,7 +185,7 @@
 	}
 }
 
-// stalenessSources are the instances that a top asks: the watchers, and some other tops.
+// stalenessSources returns the instances that a top polls: the watchers and some other tops.
 func (v *View) stalenessSources() []member.Member {
 	watching := map[string]bool{}
 	for _, name := range v.Watchers {
@@ -189,54 +202,56 @@
 	return append(out, tops[:min(len(tops), stalenessPolledTops)]...)
 }
 
-// fetchStaleness asks one instance. A lost answer is replaced by the next; silence is the business
-// of probes.
+// fetchStaleness polls one instance and ignores errors: the next reply replaces a lost one,
+// and probes detect failed peers.
 func (g *Gateway) fetchStaleness(address string) {
 	ctx, cancel := context.WithTimeout(g.ctx, stalenessPollTimeout)
 	defer cancel()
 	var out AgesReply
-	asked := g.now()
+	sentAt := g.now()
 	if g.pool.Call(ctx, address, peerService+".Ages", &AgesRequest{}, &out) == nil {
-		g.staleness.Merge(out.Staleness, asked)
+		g.staleness.Merge(out.Staleness, sentAt)
 	}
 }
 
-// sincePeerContact is how long ago a peer answered last.
+// sincePeerContact returns the time since a peer last answered.
 func (g *Gateway) sincePeerContact() time.Duration {
 	return g.now().Sub(g.startedAt) - time.Duration(g.lastPeerContact.Load())
 }
 
-// isIsolated says whether this instance has company, and hears neither the object store nor
-// anybody who might: what it holds may have been revoked, and others can serve its callers.
-// Where peers answer and none of them hears the store either, the store is most likely away
-// for all, and nothing is acknowledged meanwhile: it serves on.
-func (c *controlState) isIsolated(peerAge time.Duration) bool {
-	if c.staleness == nil || c.fleet.instances < 2 || peerAge < c.configWithin {
+// isIsolated reports whether this instance is one of several and reaches neither the object
+// store nor a peer that might. Its state may then have been revoked, and the other instances
+// can serve its callers. If peers answer but none of them reaches the store either, the store
+// is most likely down for all and no change is acknowledged meanwhile, so the instance keeps
+// serving.
+func (c *controlState) isIsolated(sincePeerContact time.Duration) bool {
+	if c.staleness == nil || c.fleet.instances < 2 || sincePeerContact < c.configWithin {
 		return false
 	}
 	age, known := c.staleness.Age(staleness.Config, c.now())
 	return known && age >= c.configWithin
 }
 
-// isolation is the belief that this instance is cut off.
+// isolation tracks whether this instance counts as isolated.
 type isolation struct {
 	active bool
-	ticks  int // for which it has seemed so
+	ticks  int // consecutive ticks for which it has appeared isolated
 }
 
-// update takes what seems so at a tick, and says whether the belief changed.
-func (x *isolation) update(seems bool, l log.Interface) bool {
-	x.ticks++
-	if !seems {
-		x.ticks = 0
+// update records whether the instance appears isolated at a tick, and reports whether the
+// state changed.
+func (i *isolation) update(seemsIsolated bool, l log.Interface) bool {
+	i.ticks++
+	if !seemsIsolated {
+		i.ticks = 0
 	}
-	was := x.active
-	x.active = x.ticks >= isolationTicks
+	wasActive := i.active
+	i.active = i.ticks >= isolationTicks
 	switch {
-	case x.active && !was:
+	case i.active && !wasActive:
 		l.Warn("cut off from the object store and all peers: requests are refused")
-	case was && !x.active:
-		l.Info("no longer cut off: requests are taken again")
+	case wasActive && !i.active:
+		l.Info("no longer cut off: requests are accepted again")
 	}
-	return was != x.active
+	return wasActive != i.active
 }
--- a/internal/gateway/staleness_test.go
+++ b/internal/gateway/staleness_test.go
@@ -14,7 +14,7 @@
 	"github.com/shedhoist/shedhoist/internal/core/staleness"
 )
 
-// status asks an instance for a path that no route takes.
+// status requests a path without a route from an instance and returns the response status.
 func (f *memoryFleet) status(i int) int {
 	conn := f.dialCaller(i)
 	defer conn.Close()
@@ -29,19 +29,20 @@
 	return resp.StatusCode
 }
 
-// TestCutOffInstanceRefusesRequests guards against an instance cut off that serves on, and one in touch that refuses.
+// TestCutOffInstanceRefusesRequests guards against an isolated instance that keeps serving
+// requests, and against one that refuses them although it reaches the store or its peers.
 func TestCutOffInstanceRefusesRequests(t *testing.T) {
-	const n, alone = 9, 4
+	const n, isolated = 9, 4
 	within := (&Settings{}).WithDefaults().ConfigWithin
 	cases := []struct {
 		name          string
-		peers, stores bool // the instance loses its peers; all lose the store, or it alone does
+		peers, stores bool // peers: the instance loses its peers; stores: all instances lose the store, not only this one
 		refuses       bool
 	}{
-		{"the store is silent to all", false, true, false},
-		{"the store is silent to it", false, false, false},
-		{"it hears nobody", true, false, true},
-		{"it hears nobody, and the store is silent to all", true, true, true},
+		{"store unreachable for all", false, true, false},
+		{"store unreachable for one", false, false, false},
+		{"store and peers unreachable for one", true, false, true},
+		{"peers unreachable for one, store for all", true, true, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -49,43 +50,43 @@
 				is := is.New(t)
 				f := newMemoryFleet(t, n, 3)
 				defer f.stop()
-				host := fmt.Sprintf("e-%03d", alone)
-				for i, d := range f.storeClients {
-					d.setSilent(c.stores || i == alone)
+				host := fmt.Sprintf("e-%03d", isolated)
+				for i, client := range f.storeClients {
+					client.setSilent(c.stores || i == isolated)
 				}
 				f.net.setCut(host, c.peers)
 				time.Sleep(within / 2)
-				is.True(f.gateways[alone].Ready()) // it may be over soon
+				is.True(f.gateways[isolated].Ready()) // the outage may still end soon
 				time.Sleep(within)
-				is.Equal(f.gateways[alone].Ready(), !c.refuses)
-				f.net.setCut(host, false) // its callers reach it, and its peers don't yet
+				is.Equal(f.gateways[isolated].Ready(), !c.refuses)
+				f.net.setCut(host, false) // callers reach it again, its peers have not yet
 				want := http.StatusNotFound
 				if c.refuses {
 					want = http.StatusServiceUnavailable
 				}
-				is.Equal(f.status(alone), want)
+				is.Equal(f.status(isolated), want)
 				for i := range f.gateways {
-					is.True(i == alone || f.gateways[i].Ready())
+					is.True(i == isolated || f.gateways[i].Ready())
 				}
-				f.storeClients[alone].setSilent(false)
+				f.storeClients[isolated].setSilent(false)
 				time.Sleep(within)
-				is.True(f.gateways[alone].Ready())
-				is.Equal(f.status(alone), http.StatusNotFound)
+				is.True(f.gateways[isolated].Ready())
+				is.Equal(f.status(isolated), http.StatusNotFound)
 			})
 		})
 	}
 }
 
-// TestCalmFleetMakesFewStoreCalls: while the watchers hear the object store nobody else asks it for
-// what they tell, and all copies are young.
+// TestCalmFleetMakesFewStoreCalls guards against needless reads of the store: while the
+// watchers reach it, no other instance reads what they report, and all copies stay recent.
 func TestCalmFleetMakesFewStoreCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newMemoryFleet(t, 60, 4)
 		defer f.stop()
 		before := make([]int, len(f.storeClients))
-		for i, d := range f.storeClients {
-			before[i] = d.countCall()
+		for i, client := range f.storeClients {
+			before[i] = client.countCall()
 		}
 		const calm = 20 * time.Second
 		for range calm / time.Second {
@@ -101,18 +102,20 @@
 				others += f.storeClients[i].countCall() - before[i]
 			}
 		}
-		// The holder of the lease and the keeper of the bootstrap object ask for these.
+		// These calls come from the lease holder and the instance that maintains the bootstrap
+		// object.
 		is.True(others < int(calm/time.Second)*8)
 	})
 }
 
-// TestWatchValidAt: an answer holds as of when the store gave it, at the latest.
+// TestWatchValidAt checks that a response counts as valid no later than the time at which
+// the store sent it.
 func TestWatchValidAt(t *testing.T) {
 	is := is.New(t)
 	at := func(ms int) time.Time { return at0.Add(time.Duration(ms) * time.Millisecond) }
 	is.Equal(watchValidAt(at(0), at(805), 800*time.Millisecond, 0), at(800))
-	is.Equal(watchValidAt(at(0), at(1300), 800*time.Millisecond, 0), at(800)) // it was under way for long
-	is.Equal(watchValidAt(at(0), at(10), 800*time.Millisecond, 0), at(0))     // it did not wait
+	is.Equal(watchValidAt(at(0), at(1300), 800*time.Millisecond, 0), at(800)) // long in transit
+	is.Equal(watchValidAt(at(0), at(10), 800*time.Millisecond, 0), at(0))     // returned before its timeout
 	is.Equal(watchValidAt(at(0), at(10), 800*time.Millisecond, 1), at(0))
 	is.Equal(watchValidAt(at(0), at(700), 800*time.Millisecond, 1), at(400))
 }
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -12,50 +12,55 @@
 	"github.com/shedhoist/shedhoist/internal/wait"
 )
 
-// Pace of following the object store.
+// Intervals and timeouts of watching the object store.
 const (
-	// watchTimeout is how long one watch waits. Each waiting watch is a call that is
-	// paid for; one that is cut off without a word is noticed when it is over.
+	// watchTimeout is how long one watch waits. Each watch is a call that is charged for;
+	// one whose connection is lost silently is noticed only when it times out.
 	watchTimeout = 6 * time.Second
-	// watcherTimeout is the same for the few instances that notice it for all others,
-	// within the 2 s in which a change must be in force everywhere.
+	// watcherTimeout is the same for the watchers. They detect changes and lost connections
+	// for all other instances, within the 2 s in which a change must be in force everywhere.
 	watcherTimeout = 800 * time.Millisecond
-	// watcherCount is how many instances are: two may fail at the same time.
+	// watcherCount is the number of watchers: two may fail at the same time.
 	watcherCount = 3
-	// slowKindTimeout is a watch of what may take longer to be in force.
+	// slowKindTimeout is the watch timeout for kinds whose changes may take longer to be in
+	// force.
 	slowKindTimeout = 3 * time.Second
-	// minWatchInterval is the least time from one watch to the next: in a storm of changes a
-	// watch brings several.
+	// minWatchInterval is the minimum time between the starts of two watches, so that in a
+	// burst of changes a watch returns several.
 	minWatchInterval = 50 * time.Millisecond
-	// retryBase and retryMax bound the jittered pause after a failed call, so that
-	// the end of an outage meets no crowd.
+	// retryBase and retryMax bound the jittered pause after a failed call, so that the
+	// instances do not all call at once when an outage ends.
 	retryBase = 150 * time.Millisecond
 	retryMax  = 1200 * time.Millisecond
 )
 
-// retryPause is the time before the next try after so many failures in a row.
+// retryPause returns the pause before the next attempt after a number of consecutive
+// failures.
 func retryPause(failures int) time.Duration {
 	return wait.Jitter(min(retryBase<<min(failures-1, 8), retryMax))
 }
 
-// feed turns what the store says of one kind into events.
+// feed turns the store's objects of one kind into events.
 type feed struct {
 	kind           string
-	watcherTimeout time.Duration // how long a watcher's watch waits
+	watcherTimeout time.Duration // timeout of a watcher's watch
 	onList         func(platform.Snapshot)
 	onChanges      func(platform.Changes)
-	// refresh asks for one look at the store by an instance that goes by news; nil: never.
+	// refresh triggers one read of the store by an instance that relies on peers; nil: never.
 	refresh wait.Signal
-	// alsoRefresh are the due signals of the kinds that are in doubt whenever this one is.
+	// alsoRefresh are the refresh signals of the kinds that are stale whenever this one is.
 	alsoRefresh []wait.Signal
-	// knownRevision is up to where news made the beliefs complete; nil: they say nothing of it.
+	// knownRevision returns the revision up to which updates from peers made the state
+	// complete; nil: updates carry no such revision.
 	knownRevision func() platform.Version
-	// age is how long ago the copy was known to be complete, see staleness.go; nil: not kept.
+	// age returns how long ago the copy was known to be complete, see staleness.go; nil: not
+	// tracked.
 	age func() (age time.Duration, known bool)
-	// onConfirmed takes that it was, as of a moment; nil: nobody wants to know.
+	// onConfirmed is called with a time at which the copy was complete; nil: not tracked.
 	onConfirmed func(at time.Time)
 }
 
+// confirm reports that the copy was complete at a time.
 func (f feed) confirm(at time.Time) {
 	if f.onConfirmed != nil {
 		f.onConfirmed(at)
@@ -86,7 +91,7 @@
 	}
 }
 
-// presentObjects returns the objects that a page of changes leaves, in order.
+// presentObjects returns the objects of a page of changes that were not deleted, in order.
 func presentObjects(c platform.Changes) []platform.NamedObject {
 	var out []platform.NamedObject
 	for _, ch := range c.Changes {
@@ -97,33 +102,33 @@
 	return out
 }
 
-// watchKind lists a kind, then watches it. A failed call is repeated after a pause
-// that grows; a watch goes on from where it was, unless that history is lost. While
-// the store does not answer about the first kind, the others are not asked for.
-func (g *Gateway) watchKind(ctx context.Context, f feed, first string) {
-	at, listed, failures := platform.Version(0), false, 0
-	var last time.Time
+// watchKind lists a kind, then watches it. A failed call is repeated after a pause that
+// grows. A watch resumes from the last revision, unless the store lost that history. While
+// calls for firstKind fail, the other kinds are not read.
+func (g *Gateway) watchKind(ctx context.Context, f feed, firstKind string) {
+	revision, listed, failures := platform.Version(0), false, 0
+	var lastCall time.Time
 	for ctx.Err() == nil {
-		news := g.reliesOnPeers()
-		if listed && (news || g.isJoining() || f.kind != first && g.isFailing(first)) && !f.refresh.Wait(ctx, g.updatePause(f, news)) && !g.checkStale(f, news) {
+		viaPeers := g.reliesOnPeers()
+		if listed && (viaPeers || g.isJoining() || f.kind != firstKind && g.isFailing(firstKind)) && !f.refresh.Wait(ctx, g.updatePause(f, viaPeers)) && !g.checkStale(f, viaPeers) {
 			continue
 		}
-		wait.For(ctx, minWatchInterval-g.now().Sub(last))
-		last = g.now()
+		wait.For(ctx, minWatchInterval-g.now().Sub(lastCall))
+		lastCall = g.now()
 		if f.knownRevision != nil {
-			at = max(at, f.knownRevision())
+			revision = max(revision, f.knownRevision())
 		}
-		next, err := g.watchOnce(ctx, f, at, listed, g.watchDuration(f, news))
+		next, err := g.watchOnce(ctx, f, revision, listed, g.watchDuration(f, viaPeers))
 		var lost *platform.HistoryLostError
 		switch {
 		case ctx.Err() != nil:
 			return
 		case errors.As(err, &lost):
-			g.log.WithField("kind", f.kind).WithField("revision", uint64(at)).Info("history lost, listing anew")
+			g.log.WithField("kind", f.kind).WithField("revision", uint64(revision)).Info("history lost, listing anew")
 			listed = false
 			continue
 		case err == nil:
-			at, listed, failures = next, true, 0
+			revision, listed, failures = next, true, 0
 			g.noteContact(f.kind, nil)
 			continue
 		}
@@ -136,43 +141,45 @@
 	}
 }
 
-func (g *Gateway) watchOnce(ctx context.Context, f feed, at platform.Version, listed bool, watch time.Duration) (platform.Version, error) {
-	asked := g.now()
+// watchOnce lists a kind, or watches it from a revision if it was listed. It returns the
+// revision up to which the copy is then complete.
+func (g *Gateway) watchOnce(ctx context.Context, f feed, revision platform.Version, listed bool, timeout time.Duration) (platform.Version, error) {
+	requestedAt := g.now()
 	if !listed {
 		s, err := g.store.List(ctx, f.kind)
 		if err != nil {
-			return at, err
+			return revision, err
 		}
 		g.countUnreadable(f.kind, s.Unreadable)
 		f.onList(s)
-		f.confirm(asked)
+		f.confirm(requestedAt)
 		return s.Revision, nil
 	}
-	c, err := g.store.Watch(ctx, f.kind, at, watch)
+	c, err := g.store.Watch(ctx, f.kind, revision, timeout)
 	if err != nil {
-		return at, err
+		return revision, err
 	}
 	g.countUnreadable(f.kind, c.Unreadable)
 	f.onChanges(c)
-	f.confirm(watchValidAt(asked, g.now(), watch, len(c.Changes)))
-	return max(c.Revision, at), nil
+	f.confirm(watchValidAt(requestedAt, g.now(), timeout, len(c.Changes)))
+	return max(c.Revision, revision), nil
 }
 
-// countUnreadable counts objects that can't be read as such, and writes a line on them.
+// countUnreadable counts and logs objects that can't be decoded.
 func (g *Gateway) countUnreadable(kind string, n int) {
 	if n == 0 {
 		return
 	}
 	metric.UnreadableObjects.Add(n)
-	g.log.WithField("kind", kind).WithField("objects", n).Error("objects not readable, left out")
+	g.log.WithField("kind", kind).WithField("objects", n).Error("objects not readable, omitted")
 }
 
-// updatePoll is how often an instance that goes by news looks whether it may still.
+// updatePoll is how often an instance that relies on peers checks whether it still may.
 const updatePoll = 250 * time.Millisecond
 
-// reliesOnPeers says whether this instance may go by its peers' news instead of a
-// watch of its own: the fleet is large, others are its watchers, and a peer was
-// heard lately. One that the store did not answer last tries until it does.
+// reliesOnPeers reports whether this instance may rely on updates from peers instead of a
+// watch of its own: the fleet is large, other instances are the watchers, and a peer answered
+// recently. An instance whose last call to the store failed retries until one succeeds.
 func (g *Gateway) reliesOnPeers() bool {
 	v := g.view.Load()
 	if len(v.Alive) <= maxSmallFleet || v.IsWatcher || !g.storeReachable.Load() {
@@ -181,33 +188,35 @@
 	return g.now().Sub(g.startedAt)-time.Duration(g.lastPeerContact.Load()) < maxPeerSilence
 }
 
-// isJoining says whether this process has just started and knows of no other instance yet. In
-// a large fleet it will go by news, and a watch that it opens now would be one for nothing.
+// isJoining reports whether this process has just started and does not know any other
+// instance yet. In a large fleet it is about to rely on peers, so a watch opened now would be
+// wasted.
 func (g *Gateway) isJoining() bool {
 	return len(g.view.Load().Alive) <= 1 && g.now().Sub(g.startedAt) < joinWindow
 }
 
-// watchDuration is how long a watch waits; one who goes by news and looks once does not.
-func (g *Gateway) watchDuration(f feed, news bool) time.Duration {
+// watchDuration returns the timeout of a watch. An instance that relies on peers and reads
+// the store once does not wait.
+func (g *Gateway) watchDuration(f feed, viaPeers bool) time.Duration {
 	v := g.view.Load()
 	switch {
-	case news, len(v.Alive) > maxSmallFleet && g.isFailing(f.kind):
-		return minWatchInterval // one that the store did not answer goes by news again once it does
+	case viaPeers, len(v.Alive) > maxSmallFleet && g.isFailing(f.kind):
+		return minWatchInterval // relies on peers again as soon as a call succeeds
 	case v.IsWatcher:
 		return f.watcherTimeout
 	}
 	return watchTimeout
 }
 
-// isFailing says whether the store does not answer about a kind.
+// isFailing reports whether the last call to the store for a kind failed.
 func (g *Gateway) isFailing(kind string) bool {
 	g.failingMu.Lock()
 	defer g.failingMu.Unlock()
 	return g.failingKinds[kind]
 }
 
-// noteContact notes whether the store answers about a kind; only a change of the
-// whole makes an event.
+// noteContact records the outcome of a call to the store for a kind. It sends an event only
+// if the overall reachability changes.
 func (g *Gateway) noteContact(kind string, err error) {
 	g.failingMu.Lock()
 	defer g.failingMu.Unlock()
@@ -217,13 +226,12 @@
 		delete(g.failingKinds, kind)
 		g.lastStoreContact.Store(int64(g.now().Sub(g.startedAt)))
 	}
-	if ok := len(g.failingKinds) == 0; g.storeReachable.Swap(ok) != ok {
-		g.sendEvent(storeContactChanged{reachable: ok, cause: err})
+	if reachable := len(g.failingKinds) == 0; g.storeReachable.Swap(reachable) != reachable {
+		g.sendEvent(storeContactChanged{reachable: reachable, cause: err})
 	}
 }
 
-// applyConfigs takes configurations as stored. One that can't be read leaves the
-// one before in force.
+// applyConfigs applies the configuration among objects from the store.
 func (g *Gateway) applyConfigs(objects []platform.NamedObject) {
 	for _, o := range objects {
 		if o.Name == g.codec.ConfigName() {
@@ -232,71 +240,76 @@
 	}
 }
 
+// applyConfig applies a configuration. If it can't be decoded, the previous one stays in
+// force.
 func (g *Gateway) applyConfig(raw []byte, from source) {
 	cfg, err := g.codec.DecodeConfig(raw)
 	if err != nil {
 		metric.ConfigErrors.Inc()
-		g.log.WithError(err).WithField("from", string(from)).Error("configuration not readable, the one before stays in force")
+		g.log.WithError(err).WithField("from", string(from)).Error("configuration not readable, previous one stays in force")
 		return
 	}
 	g.sendEvent(configReceived{cfg: cfg, raw: raw, from: from})
 }
 
+// listTargets applies a complete list of targets from the store.
 func (g *Gateway) listTargets(s platform.Snapshot) {
 	g.sendEvent(targetsListed{revision: s.Revision, targets: g.decodeTargets(s.Objects), from: fromStore})
 }
 
-// changeTargets takes a page of changes; of several changes of one object the
-// last one counts.
+// changeTargets applies a page of changes. Of several changes of one object the last one
+// counts.
 func (g *Gateway) changeTargets(c platform.Changes) {
 	last := map[string]platform.Change{}
 	for _, ch := range c.Changes {
 		last[ch.Name] = ch
 	}
-	e := targetsChanged{revision: c.Revision}
-	var stay []platform.NamedObject
+	event := targetsChanged{revision: c.Revision}
+	var present []platform.NamedObject
 	for name, ch := range last {
 		if ch.Deleted {
-			e.gone = append(e.gone, name)
+			event.gone = append(event.gone, name)
 			continue
 		}
-		stay = append(stay, ch.NamedObject)
+		present = append(present, ch.NamedObject)
 	}
-	e.present = g.decodeTargets(stay)
-	g.sendEvent(e)
+	event.present = g.decodeTargets(present)
+	g.sendEvent(event)
 }
 
-// decodeTargets decodes entries. One that can't be read names no target to use, and
-// stands in the list all the same. Of several one line is written.
+// decodeTargets decodes entries. An entry that can't be decoded is listed as unusable. One
+// log line covers all such entries.
 func (g *Gateway) decodeTargets(objects []platform.NamedObject) []catalog.Target {
 	out := make([]catalog.Target, 0, len(objects))
-	var bad []error
+	var decodeErrors []error
 	for _, o := range objects {
 		t, err := g.codec.DecodeTarget(o.Name, o.Value)
 		if err != nil {
 			t = catalog.Target{Name: o.Name, Unusable: true}
-			bad = append(bad, err)
+			decodeErrors = append(decodeErrors, err)
 		}
 		t.Revision = uint64(o.Version)
 		out = append(out, t.WithID())
 	}
-	if len(bad) > 0 {
-		g.log.WithError(bad[0]).WithField("entries", len(bad)).Error("entries of targets not readable")
+	if len(decodeErrors) > 0 {
+		g.log.WithError(decodeErrors[0]).WithField("entries", len(decodeErrors)).Error("entries of targets not readable")
 	}
 	return out
 }
 
+// applyVersions applies named weight versions from the store. Those that can't be decoded are
+// omitted.
 func (g *Gateway) applyVersions(revision platform.Version, objects []platform.NamedObject) {
-	e := versionsNamed{revision: revision, from: fromStore}
+	event := versionsNamed{revision: revision, from: fromStore}
 	for _, o := range objects {
-		e.changed = max(e.changed, o.Version)
+		event.changed = max(event.changed, o.Version)
 		v, err := g.codec.DecodeNamedVersion(o.Name, o.Value)
 		if err != nil {
 			metric.UnreadableWeightVersions.Inc()
-			g.log.WithError(err).WithField("object", o.Name).Error("weight version not readable, left out")
+			g.log.WithError(err).WithField("object", o.Name).Error("weight version not readable, omitted")
 			continue
 		}
-		e.versions = append(e.versions, v)
+		event.versions = append(event.versions, v)
 	}
-	g.sendEvent(e)
+	g.sendEvent(event)
 }
