--- a/internal/gateway/bootstrap.go
+++ b/internal/gateway/bootstrap.go
@@ -12,116 +12,123 @@
 	"github.com/shedhoist/shedhoist/internal/wait"
 )
 
-// Name of the object by which instances find one another when no seed answers.
+// Kind and name of the object through which instances find each other when no seed answers.
 const (
 	bootstrapKind = "shedhoist-bootstrap"
 	bootstrapName = "instances"
 )
 
-// Pace and size of the bootstrap object.
+// Intervals and size of the bootstrap object.
 const (
-	// bootstrapEvery is how often the first-ranked instance looks whether the object
-	// names live instances, and a lonely one looks for others.
-	bootstrapEvery     = 5 * time.Second
+	// bootstrapEvery is how often the first-ranked instance checks whether the object names
+	// live instances.
+	bootstrapEvery = 5 * time.Second
+	// soloBootstrapEvery is how often an instance that knows no other searches for others in
+	// the object.
 	soloBootstrapEvery = time.Second
-	// maxBootstrapAddresses is how many addresses the object holds, whatever the size of the
-	// fleet: one live one is enough to learn of all others.
+	// maxBootstrapAddresses is how many addresses the object holds, independent of the size of
+	// the fleet: one live address is enough to learn all others.
 	maxBootstrapAddresses = 8
 )
 
-// bootstrap is the object's value.
+// bootstrap is the value of the bootstrap object.
 type bootstrap struct {
-	Addresses []string `json:"addresses"` // of peers' listeners, sorted
+	Addresses []string `json:"addresses"` // of the peer listeners, sorted
 }
 
-// maintainBootstrap keeps the bootstrap object useful, or uses it.
+// maintainBootstrap keeps live addresses in the bootstrap object, or joins through it while
+// this instance knows no other.
 func (g *Gateway) maintainBootstrap(ctx context.Context) {
-	wait.For(ctx, joinWindow) // most join by way of a seed
+	wait.For(ctx, joinWindow) // most instances join through a seed
 	for ctx.Err() == nil {
 		alive := g.view.Load().Alive
-		every := bootstrapEvery
+		interval := bootstrapEvery
 		switch {
 		case len(alive) <= 1:
-			every = soloBootstrapEvery
+			interval = soloBootstrapEvery
 			g.findInstances(ctx)
 		case rankOf(alive, g.settings().Name, bootstrapName) == 0:
 			g.refreshBootstrap(ctx)
 		}
-		if !wait.For(ctx, wait.Jitter(every)) {
+		if !wait.For(ctx, wait.Jitter(interval)) {
 			return
 		}
 	}
 }
 
-// findInstances greets whom the object names, and adds this instance if it names
-// nobody else.
+// findInstances joins through the addresses in the object, and adds the address of this
+// instance if it is missing and there is room.
 func (g *Gateway) findInstances(ctx context.Context) {
-	m, version, err := g.readBootstrap(ctx)
+	object, version, err := g.readBootstrap(ctx)
 	if err != nil {
 		return // logged; tried again soon
 	}
 	own := g.PeerAddr()
-	for _, a := range m.Addresses {
-		if a != own {
-			g.joinVia(a)
+	for _, address := range object.Addresses {
+		if address != own {
+			g.joinVia(address)
 		}
 	}
-	if !slices.Contains(m.Addresses, own) && len(m.Addresses) < maxBootstrapAddresses {
-		g.writeBootstrap(ctx, append(m.Addresses, own), version)
+	if !slices.Contains(object.Addresses, own) && len(object.Addresses) < maxBootstrapAddresses {
+		g.writeBootstrap(ctx, append(object.Addresses, own), version)
 	}
 }
 
-// refreshBootstrap names live instances again once fewer than half of those named
-// are live.
+// refreshBootstrap replaces the addresses with those of live instances once the live ones
+// among them number less than half of maxBootstrapAddresses, or of the fleet if it is
+// smaller.
 func (g *Gateway) refreshBootstrap(ctx context.Context) {
-	m, version, err := g.readBootstrap(ctx)
+	object, version, err := g.readBootstrap(ctx)
 	if err != nil {
 		return // logged; tried again soon
 	}
 	var live []string
 	g.queryControl(func(c *controlState) {
-		for _, x := range c.members.Members() {
-			if x.State == member.Alive {
-				live = append(live, x.Address)
+		for _, m := range c.members.Members() {
+			if m.State == member.Alive {
+				live = append(live, m.Address)
 			}
 		}
 	})
-	good := 0
-	for _, a := range m.Addresses {
-		if slices.Contains(live, a) {
-			good++
+	liveNamed := 0
+	for _, address := range object.Addresses {
+		if slices.Contains(live, address) {
+			liveNamed++
 		}
 	}
-	if 2*good >= min(maxBootstrapAddresses, len(live)) {
+	if 2*liveNamed >= min(maxBootstrapAddresses, len(live)) {
 		return
 	}
 	g.writeBootstrap(ctx, live[:min(maxBootstrapAddresses, len(live))], version)
 }
 
+// readBootstrap returns the object and its version; a missing object is empty, with version
+// 0.
 func (g *Gateway) readBootstrap(ctx context.Context) (bootstrap, platform.Version, error) {
-	var m bootstrap
+	var value bootstrap
 	o, err := g.store.Get(ctx, bootstrapKind, bootstrapName)
 	var missing *platform.NotFoundError
 	if errors.As(err, &missing) {
-		return m, 0, nil
+		return value, 0, nil
 	}
 	if err == nil {
-		err = json.Unmarshal(o.Value, &m)
+		err = json.Unmarshal(o.Value, &value)
 	}
 	if err != nil {
 		g.log.WithError(err).Info("bootstrap object not read")
 	}
-	return m, o.Version, err
+	return value, o.Version, err
 }
 
-// writeBootstrap writes on condition: of two writers one wins, which is enough.
-func (g *Gateway) writeBootstrap(ctx context.Context, addresses []string, want platform.Version) {
+// writeBootstrap writes the object if its version is unchanged: of two concurrent writers one
+// wins, which is enough.
+func (g *Gateway) writeBootstrap(ctx context.Context, addresses []string, version platform.Version) {
 	slices.Sort(addresses)
 	data, err := json.Marshal(bootstrap{Addresses: addresses})
 	if err != nil {
 		panic(err) // strings always marshal
 	}
-	if _, err := g.store.Put(ctx, bootstrapKind, bootstrapName, data, want); err != nil {
+	if _, err := g.store.Put(ctx, bootstrapKind, bootstrapName, data, version); err != nil {
 		g.log.WithError(err).Info("bootstrap object not written")
 		return
 	}
--- a/internal/gateway/config_sync.go
+++ b/internal/gateway/config_sync.go
@@ -13,50 +13,52 @@
 	"github.com/shedhoist/shedhoist/internal/wait"
 )
 
-// A configuration may take a megabyte. So the word of a new version travels apart from the
-// document: the word goes from peer to peer at once, and each instance then reads a long
-// document from the object store, whose link carries what a hundred peers' links do. Only an
-// instance that can't reach the store takes it from a peer, in pieces.
+// A configuration may take a megabyte, so a reference to a new version travels separately
+// from the document. The reference spreads from peer to peer immediately, and each instance
+// then reads a large document from the object store, whose link carries as much as those of
+// a hundred peers. Only an instance that can't reach the store fetches it from a peer, in
+// chunks.
 
 const (
-	// maxInlineConfig is the size from which a configuration is no part of a peer's news, in
-	// bytes: over 10 Mbit/s an instance hands one of this size to the treeFanout others that
-	// ask it in 0.3 s, half of peerTimeout.
+	// maxInlineConfig is the size in bytes above which a configuration is not included in
+	// updates between peers. Over 10 Mbit/s an instance sends one of this size to the
+	// treeFanout others that request it in 0.3 s, half of peerTimeout.
 	maxInlineConfig = 32 << 10
-	// configGrace is how long an instance waits for a version that should come by itself,
-	// by news or by its own watch, before it reads it from the object store: the news were
-	// asked for once, and that failed.
+	// configGrace is how long an instance waits for a version to arrive with updates or its
+	// own watch before it reads the version from the object store. It covers one request for
+	// updates that failed.
 	configGrace = catchUpDelay + peerTimeout + controlTick
-	// configChunkSize is how much of a configuration one exchange brings, in bytes: 13 ms of
-	// a link of 10 Mbit/s, so that probes on the same connection are not held up.
+	// configChunkSize is the size in bytes of the part of a configuration that one call
+	// transfers. It takes 13 ms over 10 Mbit/s, so that probes on the same connection are not
+	// delayed.
 	configChunkSize = 16 << 10
-	// maxConfigReceivers is how many instances take a configuration from this one at a time.
-	// Each has one piece under way: together 52 ms of a link of 10 Mbit/s, a tenth of
-	// peerTimeout. Whoever has it whole serves as many again.
+	// maxConfigReceivers is how many instances fetch a configuration from this one at a time.
+	// Each has one chunk in transit, together 52 ms over 10 Mbit/s, a tenth of peerTimeout.
+	// An instance that has the complete document serves as many others.
 	maxConfigReceivers = 4
-	// configRetryPause is the pause after a try to get a configuration that failed.
+	// configRetryPause is the pause after an attempt to fetch a configuration.
 	configRetryPause = 150 * time.Millisecond
-	// maxConfigHolders is how many peers with a version are remembered.
+	// maxConfigHolders is how many peers that hold a version are remembered.
 	maxConfigHolders = 8
 )
 
-// ConfigRef names a configuration. It travels ahead of the document.
+// ConfigRef identifies a configuration. It may be sent ahead of the document.
 type ConfigRef struct {
 	Version uint64 `cbor:"1,keyasint"`
 	Bytes   int    `cbor:"2,keyasint"` // size of the document as stored
 }
 
-// isLarge says whether the document is no part of a peer's news.
-func (w ConfigRef) isLarge() bool { return w.Bytes > maxInlineConfig }
+// isLarge reports whether the document is too large to be included in updates between peers.
+func (r ConfigRef) isLarge() bool { return r.Bytes > maxInlineConfig }
 
-// reportedConfig is the newest configuration that a peer spoke of.
+// reportedConfig is the newest configuration that a peer reported.
 type reportedConfig struct {
 	ConfigRef
-	since   time.Time       // since when some version has been heard of that is not in force here
+	since   time.Time       // when a version that is not in force here was first reported
 	holders []member.Member // peers that have it in force
 }
 
-// configInForce is the word of the configuration that is in force here.
+// configInForce returns the reference of the configuration that is in force here.
 func (c *controlState) configInForce() ConfigRef {
 	if c.cfg == nil {
 		return ConfigRef{}
@@ -64,48 +66,50 @@
 	return ConfigRef{Version: c.cfg.Version, Bytes: len(c.rawConfig)}
 }
 
-// newestConfig is what peers are told: the word of a long document that is still to come,
-// else the configuration in force.
+// newestConfig returns the reference that peers are sent: that of a large document that has
+// not arrived yet, otherwise that of the configuration in force.
 func (c *controlState) newestConfig() ConfigRef {
-	in := c.configInForce()
-	if c.reportedConfig.Version > in.Version && c.reportedConfig.isLarge() {
+	inForce := c.configInForce()
+	if c.reportedConfig.Version > inForce.Version && c.reportedConfig.isLarge() {
 		return c.reportedConfig.ConfigRef
 	}
-	return in
+	return inForce
 }
 
-// receiveConfigRef notes what configuration a peer knows of, with a line for each newer one.
-func (c *controlState) receiveConfigRef(have StateVersions, from member.Member) {
-	in, h := c.configInForce(), &c.reportedConfig
-	if have.NewestConfig.Version > max(in.Version, h.Version) {
-		if h.Version <= in.Version {
-			h.since = c.now()
+// receiveConfigRef records which configuration a peer reports, and logs each newer one.
+func (c *controlState) receiveConfigRef(versions StateVersions, from member.Member) {
+	inForce, reported := c.configInForce(), &c.reportedConfig
+	if versions.NewestConfig.Version > max(inForce.Version, reported.Version) {
+		if reported.Version <= inForce.Version {
+			reported.since = c.now()
 		}
-		h.ConfigRef, h.holders = have.NewestConfig, nil
-		c.log.WithField("version", h.Version).WithField("bytes", h.Bytes).WithField("in_force", in.Version).WithField("peer", from.Name).Info("newer configuration heard of")
+		reported.ConfigRef, reported.holders = versions.NewestConfig, nil
+		c.log.WithField("version", reported.Version).WithField("bytes", reported.Bytes).WithField("in_force", inForce.Version).WithField("peer", from.Name).Info("newer configuration heard of")
 	}
-	if have.Config == h.Version && h.Version > in.Version {
-		h.holders = append(h.holders, from)
-		h.holders = h.holders[max(len(h.holders)-maxConfigHolders, 0):]
+	if versions.Config == reported.Version && reported.Version > inForce.Version {
+		reported.holders = append(reported.holders, from)
+		reported.holders = reported.holders[max(len(reported.holders)-maxConfigHolders, 0):]
 	}
 }
 
-// pendingConfig is a configuration that was heard of and is not in force here; nil: none.
+// pendingConfig returns the newest reported configuration if it is not in force here yet,
+// otherwise nil.
 func (g *Gateway) pendingConfig() *reportedConfig {
-	var out *reportedConfig
+	var result *reportedConfig
 	g.queryControl(func(c *controlState) {
 		if c.reportedConfig.Version > c.configInForce().Version {
-			h := c.reportedConfig
-			h.holders = slices.Clone(h.holders)
-			out = &h
+			pending := c.reportedConfig
+			pending.holders = slices.Clone(pending.holders)
+			result = &pending
 		}
 	})
-	return out
+	return result
 }
 
-// fetchConfigs gets configurations that were heard of and do not come by themselves.
+// fetchConfigs fetches reported configurations that do not arrive with updates or the
+// instance's own watch.
 func (g *Gateway) fetchConfigs(ctx context.Context) {
-	var part partialConfig
+	var partial partialConfig
 	pause := updatePoll
 	for ctx.Err() == nil {
 		g.configDue.Wait(ctx, pause)
@@ -113,38 +117,38 @@
 		if g.view.Load().NewestReportedConfig <= g.configVersion() {
 			continue
 		}
-		if p := g.pendingConfig(); p != nil && g.fetchConfig(ctx, p, &part) {
+		if pending := g.pendingConfig(); pending != nil && g.fetchConfig(ctx, pending, &partial) {
 			pause = wait.Jitter(configRetryPause)
 		}
 	}
 }
 
-// fetchConfig takes a pending configuration from where it can be had. It returns false if it
-// is left to come by itself.
-func (g *Gateway) fetchConfig(ctx context.Context, p *reportedConfig, part *partialConfig) bool {
-	stored := g.storeReachable.Load()
+// fetchConfig fetches a pending configuration from the store or a peer. It returns false if
+// the configuration is still expected to arrive without that.
+func (g *Gateway) fetchConfig(ctx context.Context, pending *reportedConfig, partial *partialConfig) bool {
+	storeReachable := g.storeReachable.Load()
 	switch {
-	case p.isLarge() && !stored:
-		g.configFromPeer(ctx, p, part)
-	case p.isLarge() && g.reliesOnPeers(), stored && g.now().Sub(p.since) >= configGrace:
-		g.configFromStore(ctx, p.ConfigRef)
+	case pending.isLarge() && !storeReachable:
+		g.configFromPeer(ctx, pending, partial)
+	case pending.isLarge() && g.reliesOnPeers(), storeReachable && g.now().Sub(pending.since) >= configGrace:
+		g.configFromStore(ctx, pending.ConfigRef)
 	default:
 		return false
 	}
 	return true
 }
 
-// configFromStore lists the configuration instead of taking its changes: of several
-// versions that came since only the newest is of use.
-func (g *Gateway) configFromStore(ctx context.Context, word ConfigRef) {
+// configFromStore lists the configuration instead of watching its changes: of several
+// versions since the last one only the newest is needed.
+func (g *Gateway) configFromStore(ctx context.Context, ref ConfigRef) {
 	kind, _, _ := g.codec.Kinds()
-	asked := g.now()
+	requestedAt := g.now()
 	s, err := g.store.List(ctx, kind)
 	if ctx.Err() != nil {
 		return
 	}
 	g.noteContact(kind, err)
-	entry := g.log.WithField("heard_of", word.Version).WithField("bytes", word.Bytes).WithField("took_ms", g.now().Sub(asked).Milliseconds())
+	entry := g.log.WithField("heard_of", ref.Version).WithField("bytes", ref.Bytes).WithField("took_ms", g.now().Sub(requestedAt).Milliseconds())
 	if err != nil {
 		metric.PlatformErrors.Inc()
 		entry.WithError(err).Warn("configuration not read from the object store")
@@ -152,24 +156,25 @@
 	}
 	entry.Info("configuration read from the object store")
 	g.applyConfigs(s.Objects)
-	g.confirmComplete(staleness.Config, asked)
+	g.confirmComplete(staleness.Config, requestedAt)
 }
 
-// ConfigRequest asks a peer for a piece of a configuration.
+// ConfigRequest requests a chunk of a configuration from a peer.
 type ConfigRequest struct {
-	From    string `cbor:"1,keyasint"` // name of the asker
-	Version uint64 `cbor:"2,keyasint"` // of the pieces that it has; 0: none
-	Offset  int    `cbor:"3,keyasint"` // up to where it has them
+	From    string `cbor:"1,keyasint"` // name of the requester
+	Version uint64 `cbor:"2,keyasint"` // version of the chunks that it has; 0: none
+	Offset  int    `cbor:"3,keyasint"` // number of bytes that it has
 }
 
-// ConfigReply is the answer.
+// ConfigReply is the reply to a ConfigRequest. Busy means that the peer currently serves
+// maxConfigReceivers others.
 type ConfigReply struct {
-	Ref   ConfigRef `cbor:"1,keyasint"` // what is in force at the teller
-	Chunk []byte    `cbor:"2,keyasint"` // from the asker's offset on, if the version is the asker's; else from the start
+	Ref   ConfigRef `cbor:"1,keyasint"` // configuration in force at the sender
+	Chunk []byte    `cbor:"2,keyasint"` // starts at the requested offset if the version is the requested one, otherwise at 0
 	Busy  bool      `cbor:"3,keyasint,omitempty"`
 }
 
-// Config hands out a piece of the configuration in force.
+// Config returns a chunk of the configuration in force.
 func (h *peerHandler) Config(req *ConfigRequest, out *ConfigReply) error {
 	var raw []byte
 	h.g.queryControl(func(c *controlState) { out.Ref, raw = c.configInForce(), c.rawConfig })
@@ -184,86 +189,88 @@
 	return nil
 }
 
-// partialConfig is what was brought of a configuration so far. It outlasts a peer's failure:
-// another one goes on behind it.
+// partialConfig is the part of a configuration received so far. It is retained if a peer
+// fails, so that the transfer can resume from another peer.
 type partialConfig struct {
 	ref ConfigRef
 	raw []byte
 }
 
-// configFromPeer takes the configuration from a peer that has it, piece by piece.
-func (g *Gateway) configFromPeer(ctx context.Context, p *reportedConfig, part *partialConfig) {
-	if len(p.holders) == 0 {
-		return // none is known yet
+// configFromPeer fetches the configuration in chunks from a peer that holds it.
+func (g *Gateway) configFromPeer(ctx context.Context, pending *reportedConfig, partial *partialConfig) {
+	if len(pending.holders) == 0 {
+		return // no holder is known yet
 	}
-	holder := p.holders[rand.IntN(len(p.holders))]
-	entry := g.log.WithField("peer", holder.Name).WithField("heard_of", p.Version)
+	holder := pending.holders[rand.IntN(len(pending.holders))]
+	entry := g.log.WithField("peer", holder.Name).WithField("heard_of", pending.Version)
 	for ctx.Err() == nil {
-		piece, err := g.requestChunk(ctx, holder.Address, part)
+		reply, err := g.requestChunk(ctx, holder.Address, partial)
 		if err != nil {
 			metric.UpdatesFailed.Inc()
-			entry.WithError(err).WithField("had_bytes", len(part.raw)).Warn("configuration not had from a peer")
+			entry.WithError(err).WithField("had_bytes", len(partial.raw)).Warn("configuration not received from a peer")
 			return
 		}
-		if piece.Busy {
+		if reply.Busy {
 			return
 		}
-		if !part.add(piece) {
-			*part = partialConfig{}
+		if !partial.add(reply) {
+			*partial = partialConfig{}
 			return
 		}
-		if len(part.raw) == part.ref.Bytes {
-			entry.WithField("version", part.ref.Version).WithField("bytes", len(part.raw)).Info("configuration had from a peer")
-			g.applyConfig(part.raw, fromPeer)
-			*part = partialConfig{}
+		if len(partial.raw) == partial.ref.Bytes {
+			entry.WithField("version", partial.ref.Version).WithField("bytes", len(partial.raw)).Info("configuration received from a peer")
+			g.applyConfig(partial.raw, fromPeer)
+			*partial = partialConfig{}
 			return
 		}
 	}
 }
 
-// add takes a further piece. It returns false if the teller has no configuration, or
-// another one under the same version.
-func (p *partialConfig) add(piece ConfigReply) bool {
-	if piece.Ref != p.ref {
-		*p = partialConfig{ref: piece.Ref}
+// add appends a chunk, and starts over if it belongs to another version. It returns false if
+// the sender has no configuration, or a different one under the same version.
+func (p *partialConfig) add(reply ConfigReply) bool {
+	if reply.Ref != p.ref {
+		*p = partialConfig{ref: reply.Ref}
 	}
-	p.raw = append(p.raw, piece.Chunk...)
-	return len(piece.Chunk) > 0 && len(p.raw) <= p.ref.Bytes
+	p.raw = append(p.raw, reply.Chunk...)
+	return len(reply.Chunk) > 0 && len(p.raw) <= p.ref.Bytes
 }
 
-func (g *Gateway) requestChunk(ctx context.Context, address string, part *partialConfig) (ConfigReply, error) {
+// requestChunk requests the chunk that follows those received so far.
+func (g *Gateway) requestChunk(ctx context.Context, address string, partial *partialConfig) (ConfigReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	var out ConfigReply
-	ask := &ConfigRequest{From: g.settings().Name, Version: part.ref.Version, Offset: len(part.raw)}
-	err := g.pool.Call(ctx, address, peerService+".Config", ask, &out)
+	req := &ConfigRequest{From: g.settings().Name, Version: partial.ref.Version, Offset: len(partial.raw)}
+	err := g.pool.Call(ctx, address, peerService+".Config", req, &out)
 	return out, err
 }
 
-// configReceivers are the instances that take a configuration from this one.
+// configReceivers tracks the instances that are fetching a configuration from this one.
 type configReceivers struct {
 	mu        sync.Mutex
-	lastChunk map[string]time.Time // when each took its last piece
+	lastChunk map[string]time.Time // when each was sent its latest chunk
 }
 
-// admit says whether an instance may take a piece now; last says that it is the last one.
-func (t *configReceivers) admit(name string, last bool, now time.Time) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for other, at := range t.lastChunk {
+// admit reports whether an instance may be sent a chunk now. last means that the chunk
+// completes the document.
+func (r *configReceivers) admit(name string, last bool, now time.Time) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for other, at := range r.lastChunk {
 		if now.Sub(at) > peerTimeout {
-			delete(t.lastChunk, other) // it gave up, or is no more
+			delete(r.lastChunk, other) // it gave up or is gone
 		}
 	}
-	if _, there := t.lastChunk[name]; !there && len(t.lastChunk) >= maxConfigReceivers {
+	if _, receiving := r.lastChunk[name]; !receiving && len(r.lastChunk) >= maxConfigReceivers {
 		return false
 	}
-	if t.lastChunk == nil {
-		t.lastChunk = map[string]time.Time{}
+	if r.lastChunk == nil {
+		r.lastChunk = map[string]time.Time{}
 	}
-	t.lastChunk[name] = now
+	r.lastChunk[name] = now
 	if last {
-		delete(t.lastChunk, name)
+		delete(r.lastChunk, name)
 	}
 	return true
 }
