--- a/internal/gateway/cache_collector.go
+++ b/internal/gateway/cache_collector.go
@@ -11,62 +11,62 @@
 	"github.com/shedhoist/shedhoist/internal/wait"
 )
 
-// Times and sizes of freeing.
+// Time limits and batch size of freeing.
 const (
-	// collectInterval is how often an instance looks for what can be freed.
+	// collectInterval is how often an instance checks for parts to free.
 	collectInterval = 400 * time.Millisecond
-	// versionSettleTime is how long all targets must have been seen with newer weights
-	// before older cache is freed. A target with newer weights refuses requests that
-	// expect older ones, so that none can fetch it; this covers lists that differ by
-	// what is being told.
+	// versionSettleTime is how long all targets must have been known to serve newer weights
+	// before the cache of older ones is freed. A target with newer weights refuses requests
+	// that expect older ones, so none of them can fetch it. This time covers updates of the
+	// target list that are still on their way.
 	versionSettleTime = time.Second
-	// departedTTL is how long a target that left the list counts as serving: others
-	// may hold on to it for registry.ReturnTime, with a fetch under way.
+	// departedTTL is how long a target that left the list still counts as serving. Other
+	// instances may use it for registry.ReregistrationTimeout, and a fetch may be in progress.
 	departedTTL = registry.ReregistrationTimeout + maxFetchTime
-	// freeTimeout is how long an order to free may be under way.
+	// freeTimeout is how long a free request may be in flight; the store rejects it after that.
 	freeTimeout = time.Second
-	// maxFreeBatch is how many parts one call frees.
+	// maxFreeBatch is the maximum number of outdated parts that one call frees.
 	maxFreeBatch = 1000
-	// incompleteTimeout is how long a part must have been incomplete, without any more of
-	// it coming, to be taken for broken off: a save takes well under a second.
+	// incompleteTimeout is how long a part must have been incomplete without growing before
+	// its save counts as aborted. A save takes well under a second.
 	incompleteTimeout = 10 * time.Second
 )
 
-// collectGarbage frees cache of weights that no target serves any more, and parts that
-// broke off, in the stores that fall to this instance. Two that both think so do
-// no harm: what they free is nobody's.
+// collectGarbage frees cache of weights that no target serves any more, and parts whose save was
+// aborted, in the stores assigned to this instance. If two instances both consider themselves
+// assigned, that does no harm: what they free is not in use.
 func (c *cacheDirectory) collectGarbage(ctx context.Context) {
-	var settled versionSettling
+	var settling versionSettling
 	for wait.For(ctx, wait.Jitter(collectInterval)) {
 		v := c.g.view.Load()
 		if v.Config == nil || v.Draining || !v.StoreReachable {
-			continue // what targets serve is not known for sure
+			continue // the versions that targets serve are not reliably known
 		}
-		// Only those that follow a store know of the parts that broke off there.
-		follow := v.Tree.pollers()
-		if !slices.Contains(follow, c.g.settings().Name) {
-			settled = versionSettling{} // it was not looked at meanwhile
+		// Only instances that poll a store know of its incomplete parts.
+		pollers := v.Tree.pollers()
+		if !slices.Contains(pollers, c.g.settings().Name) {
+			settling = versionSettling{} // versions are not observed meanwhile
 			continue
 		}
-		oldest := settled.update(oldestServed(v, c.g.now()), c.g.now())
+		oldest := settling.update(oldestServed(v, c.g.now()), c.g.now())
 		if len(oldest) == 0 {
 			continue
 		}
 		for _, s := range v.Config.Stores {
-			if s.Managed && rankOf(follow, c.g.settings().Name, s.Address) == 0 {
+			if s.Managed && rankOf(pollers, c.g.settings().Name, s.Address) == 0 {
 				c.free(ctx, s.Address, oldest)
 			}
 		}
 	}
 }
 
-// oldestServed is each model's oldest weight version that any target serves, or
-// may serve still: leaving ones, and those that left the list lately.
+// oldestServed returns the oldest weight version of each model that a target serves. Targets
+// that are leaving or left the list within departedTTL count, as they may still serve it.
 func oldestServed(v *View, now time.Time) map[string]uint64 {
 	out := map[string]uint64{}
 	add := func(models []catalog.ModelVersion) {
 		for _, m := range models {
-			if at, ok := out[m.Model]; !ok || m.Version < at {
+			if oldest, ok := out[m.Model]; !ok || m.Version < oldest {
 				out[m.Model] = m.Version
 			}
 		}
@@ -82,14 +82,14 @@
 	return out
 }
 
-// versionSettling remembers since when versions have been the oldest served.
+// versionSettling tracks since when each model's oldest served version has been the same.
 type versionSettling struct {
 	versions map[string]uint64
 	since    map[string]time.Time
 }
 
-// update takes the oldest versions as seen now, and returns those that have been
-// so for long enough.
+// update records the oldest versions served at now, and returns those that have not changed for
+// versionSettleTime.
 func (s *versionSettling) update(oldest map[string]uint64, now time.Time) map[string]uint64 {
 	if s.versions == nil {
 		s.versions, s.since = map[string]uint64{}, map[string]time.Time{}
@@ -106,15 +106,16 @@
 	return out
 }
 
-// free frees a store's parts of versions older than oldest.
+// free frees a store's parts of weight versions older than oldest and its stalled incomplete
+// parts.
 func (c *cacheDirectory) free(ctx context.Context, address string, oldest map[string]uint64) {
 	c.mu.Lock()
-	sh := c.inventories[address]
+	inv := c.inventories[address]
 	var parts []cachestore.Key
 	var epoch uint64
-	if sh != nil && sh.Known(c.g.now(), sh.maxAge()) {
-		parts = append(sh.Outdated(oldest, maxFreeBatch), sh.Stalled(incompleteTimeout)...)
-		epoch, _, _ = sh.Position()
+	if inv != nil && inv.Known(c.g.now(), inv.maxAge()) {
+		parts = append(inv.Outdated(oldest, maxFreeBatch), inv.Stalled(incompleteTimeout)...)
+		epoch, _, _ = inv.Position()
 	}
 	c.mu.Unlock()
 	if len(parts) == 0 {
@@ -128,14 +129,14 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now, _, _ := sh.Position(); now == epoch {
-		sh.Remove(parts, c.g.now()) // its events tell the same a moment later
-		c.journal.Append(address, removals(parts))
+	if currentEpoch, _, _ := inv.Position(); currentEpoch == epoch {
+		inv.Remove(parts, c.g.now()) // the store's own events report the same a moment later
+		c.journal.Append(address, removalEvents(parts))
 	}
 }
 
-// removals are the changes that say that parts are no longer held.
-func removals(parts []cachestore.Key) []cachestore.Event {
+// removalEvents returns an event for each part that says that it is no longer held.
+func removalEvents(parts []cachestore.Key) []cachestore.Event {
 	out := make([]cachestore.Event, len(parts))
 	for i, k := range parts {
 		out[i] = cachestore.Event{Key: k}
--- a/internal/gateway/peer_silences_test.go
+++ b/internal/gateway/peer_silences_test.go
@@ -11,8 +11,8 @@
 	"github.com/shedhoist/shedhoist/internal/loadreport"
 )
 
-// TestSilencesAreRelayed guards against silent targets that only the instances next to their teller
-// hear of in a large fleet, and against words that return to their teller.
+// TestSilencesAreRelayed guards against reports of silent targets that reach only the neighbours of
+// the reporting instance in a large fleet, and against reports that return to their sender.
 func TestSilencesAreRelayed(t *testing.T) {
 	is := is.New(t)
 	n := neighbour{relayedFrom: map[string]bool{"child": true}}
@@ -27,26 +27,26 @@
 	is.Equal(got, map[loadreport.Key]int64{1: 700, 2: 600, 4: 800})
 }
 
-// TestHealthyResponseOverridesSilence guards against saves that are kept back because another instance
-// waits at a target from which this one has an answer since.
+// TestHealthyResponseOverridesSilence guards against saves that are withheld because a peer waits for
+// a target that has responded to this instance since.
 func TestHealthyResponseOverridesSilence(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	ago := func(d time.Duration) time.Time { return now.Add(-d) }
-	var s inflight.ResponseTracker
-	is.Equal(s.UnresponsiveForWithPeers(ago(time.Second), now), time.Second) // it has heard nothing at all
-	s.RecordActivity(ago(2 * time.Second))
-	is.Equal(s.UnresponsiveForWithPeers(ago(time.Second), now), time.Second)
-	is.Equal(s.UnresponsiveForWithPeers(time.Time{}, now), time.Duration(0))
-	s.RecordActivity(ago(500 * time.Millisecond))
-	is.Equal(s.UnresponsiveForWithPeers(ago(time.Second), now), time.Duration(0))
-	s.RecordRequest(ago(300 * time.Millisecond))
-	is.Equal(s.UnresponsiveForWithPeers(ago(400*time.Millisecond), now), 400*time.Millisecond)
-	is.Equal(s.UnresponsiveForWithPeers(ago(200*time.Millisecond), now), 300*time.Millisecond)
+	var responses inflight.ResponseTracker
+	is.Equal(responses.UnresponsiveForWithPeers(ago(time.Second), now), time.Second) // no response at all so far
+	responses.RecordActivity(ago(2 * time.Second))
+	is.Equal(responses.UnresponsiveForWithPeers(ago(time.Second), now), time.Second)
+	is.Equal(responses.UnresponsiveForWithPeers(time.Time{}, now), time.Duration(0))
+	responses.RecordActivity(ago(500 * time.Millisecond))
+	is.Equal(responses.UnresponsiveForWithPeers(ago(time.Second), now), time.Duration(0))
+	responses.RecordRequest(ago(300 * time.Millisecond))
+	is.Equal(responses.UnresponsiveForWithPeers(ago(400*time.Millisecond), now), 400*time.Millisecond)
+	is.Equal(responses.UnresponsiveForWithPeers(ago(200*time.Millisecond), now), 300*time.Millisecond)
 }
 
-// TestOwnSilencesAreReported guards against a silence that is not told, and one that is told though
-// its answer is not due yet.
+// TestOwnSilencesAreReported guards against a silent target that is not reported, and one that is
+// reported before silenceThreshold has passed.
 func TestOwnSilencesAreReported(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -56,8 +56,8 @@
 	is.Equal(g.ownSilentTargets(), []loadreport.TargetAge{{Target: loadreport.KeyOf("silent"), AgeMS: silenceThreshold.Milliseconds()}})
 }
 
-// TestLongPendingSavesAreRelayed guards against late saves that only the instances next to their teller
-// hear of in a large fleet, and against words that return to their teller.
+// TestLongPendingSavesAreRelayed guards against reports of pending saves that reach only the neighbours
+// of the reporting instance in a large fleet, and against reports that return to their sender.
 func TestLongPendingSavesAreRelayed(t *testing.T) {
 	is := is.New(t)
 	n := neighbour{relayedFrom: map[string]bool{"child": true}}
@@ -66,27 +66,27 @@
 	is.Equal(got, []loadreport.Key{1, 2, 4})
 }
 
-// TestQueuedRequestsAreNoSilence guards against saves that all instances keep back at a busy target: some
-// have waited in its queue for long, while it answers others.
+// TestQueuedRequestsAreNoSilence guards against saves that all instances withhold from a busy target:
+// some requests have waited long in its queue while it responds to others.
 func TestQueuedRequestsAreNoSilence(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	key := loadreport.KeyOf("t")
-	waits := []loadreport.TargetAge{{Target: key, AgeMS: 2000}}
-	hears := &Gateway{now: func() time.Time { return now }, upstream: newUpstream()}
-	hears.upstream.inflight.Get("t").Responses.RecordActivity(now.Add(-time.Second))
-	heard := hears.ownAnswered(map[string][]loadreport.TargetAge{"waits": waits})
-	is.Equal(heard, []loadreport.TargetAge{{Target: key, AgeMS: 1000}})
-	is.Equal(len(hears.ownAnswered(map[string][]loadreport.TargetAge{"waits": {{Target: key, AgeMS: 900}}})), 0) // silent since
+	silences := []loadreport.TargetAge{{Target: key, AgeMS: 2000}}
+	receiver := &Gateway{now: func() time.Time { return now }, upstream: newUpstream()}
+	receiver.upstream.inflight.Get("t").Responses.RecordActivity(now.Add(-time.Second))
+	answered := receiver.ownAnswered(map[string][]loadreport.TargetAge{"waiting": silences})
+	is.Equal(answered, []loadreport.TargetAge{{Target: key, AgeMS: 1000}})
+	is.Equal(len(receiver.ownAnswered(map[string][]loadreport.TargetAge{"waiting": {{Target: key, AgeMS: 900}}})), 0) // no response since the silence began
 
-	s := loadreport.NewUnresponsiveTargets(loadReportTTL)
-	s.Apply("waits", 1, waits, now)
-	is.Equal(s.Since(key, now), now.Add(-2*time.Second))
-	s.ApplyResponses("hears", 1, heard, now)
-	is.True(s.Since(key, now).IsZero())
-	s.ApplyResponses("hears", 2, nil, now)
-	is.True(!s.Since(key, now).IsZero())
+	tracker := loadreport.NewUnresponsiveTargets(loadReportTTL)
+	tracker.Apply("waiting", 1, silences, now)
+	is.Equal(tracker.Since(key, now), now.Add(-2*time.Second))
+	tracker.ApplyResponses("answered", 1, answered, now)
+	is.True(tracker.Since(key, now).IsZero())
+	tracker.ApplyResponses("answered", 2, nil, now)
+	is.True(!tracker.Since(key, now).IsZero())
 
-	n := neighbour{relayedFrom: map[string]bool{"hears": true}}
-	is.Equal(n.answeredToReport([]loadreport.TargetAge{{Target: key, AgeMS: 1500}}, map[string][]loadreport.TargetAge{"hears": heard, "elsewhere": {{Target: key}}}), heard)
+	n := neighbour{relayedFrom: map[string]bool{"answered": true}}
+	is.Equal(n.answeredToReport([]loadreport.TargetAge{{Target: key, AgeMS: 1500}}, map[string][]loadreport.TargetAge{"answered": answered, "elsewhere": {{Target: key}}}), answered)
 }
--- a/internal/gateway/pending_saves.go
+++ b/internal/gateway/pending_saves.go
@@ -7,43 +7,47 @@
 	"github.com/shedhoist/shedhoist/internal/loadreport"
 )
 
-// pendingSaveDelay is how long a save may be under way before the others are told of it: they know by
-// the end of stock.Bounds' SaveTime, and fetch the part only when it is no longer told. In a
-// small fleet, where they need not wait for SaveTime, they are told at once.
+// pendingSaveDelay is how long a save may be in progress before it is reported to the other
+// instances. They receive the report before SaveTime of cachestore.Bounds has passed, and do not
+// fetch the part while the save is reported. A small fleet fetches without waiting for SaveTime,
+// so there saves are reported at once.
 const pendingSaveDelay = 100 * time.Millisecond
 
-// partKey names a part in words of late saves. If two parts share one, a save of either makes
-// both late.
+// partKey identifies a part in reports of pending saves. If two parts share a key, a pending
+// save of either blocks fetches of both.
 func partKey(k cachestore.Key) loadreport.Key { return loadreport.KeyOf(k.Salt + "/" + k.Part) }
 
-// ownPendingSaves are the parts of this instance's own late saves.
+// ownPendingSaves returns the parts whose saves, requested by this instance, are to be reported
+// as pending.
 func (c *cacheDirectory) ownPendingSaves() []loadreport.Key {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pendingSavesAt(c.g.now())
 }
 
-// pendingSavesAt is ownPendingSaves at a time; c.mu is held.
+// pendingSavesAt returns ownPendingSaves as of now. c.mu is held.
 func (c *cacheDirectory) pendingSavesAt(now time.Time) []loadreport.Key {
 	var out []loadreport.Key
-	after := pendingSaveDelay
+	minAge := pendingSaveDelay
 	if c.g.view.Load().Tree.small {
-		after = 0
+		minAge = 0
 	}
-	for _, k := range c.pendingSaves.PendingParts(now, after, c.targetActivity) {
+	for _, k := range c.pendingSaves.PendingParts(now, minAge, c.targetActivity) {
 		out = append(out, partKey(k))
 	}
 	return out
 }
 
-// targetActivity are what is known of a target.
+// targetActivity returns when a target last responded and how long it has been unresponsive,
+// including what peers reported.
 func (c *cacheDirectory) targetActivity(target string) cachestore.TargetActivity {
-	own := &c.g.upstream.inflight.Get(target).Responses
+	responses := &c.g.upstream.inflight.Get(target).Responses
 	now := c.g.now()
-	return cachestore.TargetActivity{LastResponse: own.LastActivity(), UnresponsiveFor: own.UnresponsiveForWithPeers(c.g.peerSilences.Since(loadreport.KeyOf(target), now), now)}
+	return cachestore.TargetActivity{LastResponse: responses.LastActivity(), UnresponsiveFor: responses.UnresponsiveForWithPeers(c.g.peerSilences.Since(loadreport.KeyOf(target), now), now)}
 }
 
-// beginSave notes what a request asks a target to save; nil: nothing.
+// beginSave records that a request asks a target to save parts. It returns nil if there are
+// none.
 func (c *cacheDirectory) beginSave(target string, parts []cachestore.Key) *cachestore.Save {
 	if len(parts) == 0 {
 		return nil
@@ -53,24 +57,24 @@
 	return c.pendingSaves.Begin(target, parts, c.g.now())
 }
 
-// How the request of a save ended.
+// saveResult is how the request that carried a save ended.
 type saveResult int
 
 const (
 	saveAnswered saveResult = iota
 	saveNotSent
-	saveAbandoned // without any word of the target
+	saveAbandoned // given up without a response
 )
 
-// endSave notes how the request of a save ended.
-func (c *cacheDirectory) endSave(s *cachestore.Save, how saveResult) {
+// endSave records how the request that carried a save ended. s may be nil.
+func (c *cacheDirectory) endSave(s *cachestore.Save, result saveResult) {
 	if s == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.g.now()
-	switch how {
+	switch result {
 	case saveAnswered:
 		s.Answered(now)
 	case saveNotSent:
@@ -80,23 +84,23 @@
 	}
 }
 
-// pendingSavesToReport is what a neighbour is told of late saves: all that this instance knows of but what
-// the neighbour hears for itself.
-func (n neighbour) pendingSavesToReport(own []loadreport.Key, others map[string][]loadreport.Key) []loadreport.Key {
-	told := map[loadreport.Key]bool{}
+// pendingSavesToReport returns the pending saves to report to a neighbour: this instance's own and
+// those of peers that the neighbour does not receive directly.
+func (n neighbour) pendingSavesToReport(own []loadreport.Key, peers map[string][]loadreport.Key) []loadreport.Key {
+	reported := map[loadreport.Key]bool{}
 	for _, k := range own {
-		told[k] = true
+		reported[k] = true
 	}
-	for from, late := range others {
+	for from, pending := range peers {
 		if !n.relayedFrom[from] {
 			continue
 		}
-		for _, k := range late {
-			told[k] = true
+		for _, k := range pending {
+			reported[k] = true
 		}
 	}
-	out := make([]loadreport.Key, 0, len(told))
-	for k := range told {
+	out := make([]loadreport.Key, 0, len(reported))
+	for k := range reported {
 		out = append(out, k)
 	}
 	return out
--- a/internal/gateway/store_positions.go
+++ b/internal/gateway/store_positions.go
@@ -7,7 +7,7 @@
 	"github.com/shedhoist/shedhoist/internal/loadreport"
 )
 
-// StorePosition says up to which event an instance knows a cache store.
+// StorePosition says up to which event an instance knows the contents of a cache store.
 type StorePosition struct {
 	_     struct{} `cbor:",toarray"`
 	Store loadreport.Key
@@ -15,54 +15,56 @@
 	Event uint64
 }
 
-// positionTracker is up to where the other instances of a small fleet know the cache stores. It is
-// safe for use by several goroutines.
+// positionTracker holds the store positions that the other instances of a small fleet reported. It
+// is safe for concurrent use. The zero value is empty.
 type positionTracker struct {
 	mu      sync.Mutex
 	reports map[string]positionReport // by instance
 }
 
-// positionReport is an instance's last word.
+// positionReport is the last report of one instance.
 type positionReport struct {
 	seq    uint64
 	at     time.Time
 	stores map[loadreport.Key]StorePosition
 }
 
-// record keeps an instance's word, unless a newer one is known that still counts.
-func (b *positionTracker) record(from string, seq uint64, told []StorePosition, now time.Time) {
-	w := positionReport{seq: seq, at: now, stores: make(map[loadreport.Key]StorePosition, len(told))}
-	for _, s := range told {
-		w.stores[s.Store] = s
+// record stores an instance's report unless one with the same or a higher sequence number is known
+// and has not expired.
+func (t *positionTracker) record(from string, seq uint64, positions []StorePosition, now time.Time) {
+	report := positionReport{seq: seq, at: now, stores: make(map[loadreport.Key]StorePosition, len(positions))}
+	for _, s := range positions {
+		report.stores[s.Store] = s
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if old, ok := b.reports[from]; ok && seq <= old.seq && now.Sub(old.at) < loadReportTTL {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if old, ok := t.reports[from]; ok && seq <= old.seq && now.Sub(old.at) < loadReportTTL {
 		return
 	}
-	if b.reports == nil {
-		b.reports = map[string]positionReport{}
+	if t.reports == nil {
+		t.reports = map[string]positionReport{}
 	}
-	b.reports[from] = w
+	t.reports[from] = report
 }
 
-// allReached says whether the last words of some instances, which must still count, say that they
-// know an event of a store.
-func (b *positionTracker) allReached(names []string, s StorePosition, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, name := range names {
-		w := b.reports[name]
-		known, ok := w.stores[s.Store]
-		if !ok || known.Epoch != s.Epoch || known.Event < s.Event || now.Sub(w.at) >= loadReportTTL {
+// allReached reports whether every one of the instances has an unexpired report that says that it
+// has reached a position.
+func (t *positionTracker) allReached(instances []string, position StorePosition, now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, name := range instances {
+		report := t.reports[name]
+		known, ok := report.stores[position.Store]
+		if !ok || known.Epoch != position.Epoch || known.Event < position.Event || now.Sub(report.at) >= loadReportTTL {
 			return false
 		}
 	}
 	return true
 }
 
-// ownPositions is up to where this instance knows the stores, in a small fleet: in a large one most
-// hear of the stores by way of others.
+// ownPositions returns the positions of the stores that this instance polls and whose events it has
+// received without a gap. It returns none in a large fleet, where most instances do not poll the
+// stores.
 func (c *cacheDirectory) ownPositions() []StorePosition {
 	if !c.g.view.Load().Tree.small {
 		return nil
@@ -70,17 +72,17 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []StorePosition
-	for address, sh := range c.inventories {
-		epoch, next, known := sh.Position()
-		if known && sh.stopPolling != nil && !sh.HasGap() {
+	for address, inv := range c.inventories {
+		epoch, next, known := inv.Position()
+		if known && inv.stopPolling != nil && !inv.HasGap() {
 			out = append(out, StorePosition{Store: loadreport.KeyOf(address), Epoch: epoch, Event: next})
 		}
 	}
 	return out
 }
 
-// reachedByAll returns what says whether all instances know an event of a store. Those that are
-// lost count too: they may still run.
+// reachedByAll returns a function that reports whether all other instances have reached an event of
+// a store. Lost instances count too, because they may still be running.
 func (c *cacheDirectory) reachedByAll(store string, now time.Time) func(epoch, event uint64) bool {
 	v := c.g.view.Load()
 	return func(epoch, event uint64) bool {
