--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -14,68 +14,70 @@
 	"github.com/shedhoist/shedhoist/internal/wait"
 )
 
-// A request that crashes its targets ends every life of a target in which it runs: what is
-// known of it must outlive targets and instances, and reach all instances before it comes
-// again. Each crash is told to all instances; what concerns more than one crash is written to
-// the object store too, for instances that start when no other is left (quarantine_store.go).
-
-// handleCrash takes what was under way at a target when it crashed. An end that was announced is
-// no request's doing.
-func (g *Gateway) handleCrash(t *catalog.Target, broken []interruptedRequest) {
+// A request that crashes targets ends each target incarnation in which it runs. What is known of it
+// must therefore outlive targets and instances, and reach all instances before the request is sent
+// again. Each crash is reported to all instances. Requests with more than one crash are also
+// written to the object store, for instances that start when no other is left
+// (quarantine_store.go).
+
+// handleCrash records the requests that were running at a target when it crashed. If the target had
+// announced that it leaves, or is no longer listed, no request is blamed for its end.
+func (g *Gateway) handleCrash(t *catalog.Target, interrupted []interruptedRequest) {
 	listed := g.view.Load().Targets[t.ID]
 	if listed == nil || listed.IsLeaving() {
-		g.log.WithField("target", t.ID).WithField("requests", len(broken)).Info("target ended as announced")
+		g.log.WithField("target", t.ID).WithField("requests", len(interrupted)).Info("target ended as announced")
 		return
 	}
 	now := g.now()
-	life := quarantine.Incarnation(xxhash.Sum64String(t.ID))
-	var words []quarantine.Report
-	keep := false
-	for _, r := range broken {
-		w, against := g.quarantine.RecordCrash(r.key, quarantine.Label{Customer: r.customer, Route: r.route}, life, now)
-		if against {
-			words = append(words, w)
+	incarnation := quarantine.Incarnation(xxhash.Sum64String(t.ID))
+	var reports []quarantine.Report
+	persist := false
+	for _, r := range interrupted {
+		report, counted := g.quarantine.RecordCrash(r.key, quarantine.Label{Customer: r.customer, Route: r.route}, incarnation, now)
+		if counted {
+			reports = append(reports, report)
 		}
 		s, _ := g.quarantine.Lookup(r.key, now)
-		keep = keep || s.Reportable()
+		persist = persist || s.Reportable()
 		g.log.WithField("request", r.id).WithField("key", r.key.String()).WithField("customer", r.customer).WithField("route", r.route).
 			WithField("target", t.ID).WithField("crashes", s.Crashes).WithField("answered_lately", s.Crashes == 0).Info("target crashed under a request")
 	}
-	g.spreadSuspects(words, "")
+	g.spreadSuspects(reports, "")
 	g.suspectsDue.Raise()
-	if keep {
+	if persist {
 		g.scheduleSuspectsWrite()
 	}
 }
 
-// recordSuccess takes that a request was answered whole, which speaks for all that are alike.
+// recordSuccess records a complete response to a request, which clears all requests with the same
+// quarantine key of suspicion.
 func (g *Gateway) recordSuccess(x *exchange) {
-	w, suspected := g.quarantine.RecordAnswer(x.quarantineKey(), g.now())
+	report, suspected := g.quarantine.RecordAnswer(x.quarantineKey(), g.now())
 	if !suspected {
 		return
 	}
-	g.log.WithField("request", x.call.ID).WithField("key", x.quarantineKey().String()).WithField("targets", x.triedTargets).WithField("crashes", len(w.Crashes)).
-		Info("request answered whole, those like it are no longer suspected")
-	g.spreadSuspects([]quarantine.Report{w}, "")
-	if w.Reportable() {
+	g.log.WithField("request", x.call.ID).WithField("key", x.quarantineKey().String()).WithField("targets", x.triedTargets).WithField("crashes", len(report.Crashes)).
+		Info("request got a complete response, requests with its key are no longer suspected")
+	g.spreadSuspects([]quarantine.Report{report}, "")
+	if report.Reportable() {
 		g.scheduleSuspectsWrite()
 	}
 }
 
-// SuspectsRequest is an instance's word on requests under which targets crashed.
+// SuspectsRequest sends an instance's reports on requests under which targets crashed.
 type SuspectsRequest struct {
 	From    string              `cbor:"1,keyasint"`
 	Reports []quarantine.Report `cbor:"2,keyasint,omitempty"`
-	WantAll bool                `cbor:"3,keyasint,omitempty"` // answer with all words of the receiver
+	WantAll bool                `cbor:"3,keyasint,omitempty"` // reply with all reports of the receiver
 }
 
-// SuspectsReply is the answer to Suspects.
+// SuspectsReply is the reply to a SuspectsRequest.
 type SuspectsReply struct {
 	From    string              `cbor:"1,keyasint"`
 	Reports []quarantine.Report `cbor:"2,keyasint,omitempty"`
 }
 
-// Suspects takes a peer's word.
+// Suspects handles a peer's SuspectsRequest.
 func (h *peerHandler) Suspects(req *SuspectsRequest, out *SuspectsReply) error {
 	h.g.mergeSuspects(req.Reports, req.From)
 	out.From = h.g.settings().Name
@@ -85,62 +87,66 @@
 	return nil
 }
 
-// mergeSuspects merges the words of a peer, and passes on what is new.
-func (g *Gateway) mergeSuspects(words []quarantine.Report, from string) {
-	if len(words) == 0 {
+// mergeSuspects merges the reports of a peer, forwards those that bring something new, and sends
+// this instance's objections to all.
+func (g *Gateway) mergeSuspects(reports []quarantine.Report, from string) {
+	if len(reports) == 0 {
 		return
 	}
-	news, objections := g.quarantine.Merge(words, g.now())
-	g.spreadSuspects(news, from)
+	updates, objections := g.quarantine.Merge(reports, g.now())
+	g.spreadSuspects(updates, from)
 	g.spreadSuspects(objections, "")
-	if len(news)+len(objections) > 0 {
+	if len(updates)+len(objections) > 0 {
 		g.suspectsDue.Raise()
 	}
 }
 
-// spreadSuspects has words told to the neighbours: to all, or to those to whom the words of
-// one of them are passed on.
-func (g *Gateway) spreadSuspects(words []quarantine.Report, from string) {
-	if len(words) == 0 {
+// spreadSuspects queues reports for the neighbours: for all if from is "", else for those to which
+// the reports of neighbour from are relayed.
+func (g *Gateway) spreadSuspects(reports []quarantine.Report, from string) {
+	if len(reports) == 0 {
 		return
 	}
-	g.suspectsOutbox.add(words, from)
+	g.suspectsOutbox.add(reports, from)
 	g.outboxDue.Raise()
 }
 
-// reportSuspects empties the outbox, whenever there is something in it.
+// reportSuspects sends the contents of the outbox to the neighbours whenever there are any, until
+// ctx ends.
 func (g *Gateway) reportSuspects(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !g.outboxDue.Wait(ctx, quarantine.Retention) || !wait.For(ctx, outboxDelay) {
 			continue
 		}
-		near := g.view.Load().Tree.neighbours()
-		told := g.suspectsOutbox.drain(near)
-		for _, n := range near {
-			if words := told[n.Name]; len(words) > 0 {
-				g.spawn(func() { g.sendSuspects(n.Member, &SuspectsRequest{From: g.settings().Name, Reports: words}) })
+		neighbours := g.view.Load().Tree.neighbours()
+		byNeighbour := g.suspectsOutbox.drain(neighbours)
+		for _, n := range neighbours {
+			if reports := byNeighbour[n.Name]; len(reports) > 0 {
+				g.spawn(func() { g.sendSuspects(n.Member, &SuspectsRequest{From: g.settings().Name, Reports: reports}) })
 			}
 		}
 	}
 }
 
-// sendSuspects tells one peer. What does not arrive is made up for by compareSuspects.
+// sendSuspects sends reports to one peer and merges those of its reply. compareSuspects makes up for
+// messages that do not arrive.
 func (g *Gateway) sendSuspects(m member.Member, req *SuspectsRequest) {
 	ctx, cancel := context.WithTimeout(g.ctx, peerTimeout)
 	defer cancel()
-	var out SuspectsReply
-	if err := g.pool.Call(ctx, m.Address, peerService+".Suspects", req, &out); err != nil {
+	var reply SuspectsReply
+	if err := g.pool.Call(ctx, m.Address, peerService+".Suspects", req, &reply); err != nil {
 		g.log.WithError(err).WithField("peer", m.Name).WithField("words", len(req.Reports)).Info("suspected requests not told")
 		return
 	}
-	g.mergeSuspects(out.Reports, out.From)
+	g.mergeSuspects(reply.Reports, reply.From)
 }
 
-// compareInterval is the least time between two comparisons: a word takes no longer to spread.
+// compareInterval is the minimum time between two comparisons. A report spreads through the fleet
+// within this time.
 const compareInterval = time.Second
 
-// compareSuspects exchanges all words with a peer that believes otherwise: one of the two
-// has started, or was cut off. digest is the peer's.
+// compareSuspects exchanges all reports with a peer if its digest differs from this instance's: one
+// of the two has just started or was isolated.
 func (g *Gateway) compareSuspects(m member.Member, digest uint64) {
 	if m.Address == "" || digest == g.quarantine.Digest(g.now()) {
 		return
@@ -153,15 +159,17 @@
 	g.spawn(func() { g.sendSuspects(m, req) })
 }
 
-// checkQuarantine says whether the request is to be kept from targets now, and by what belief. One
-// request at a time is let through to try whether the belief is right.
+// checkQuarantine reports whether the request is to be rejected now, and the state behind the
+// decision. One request at a time is let through as a trial, to test whether the request still
+// crashes targets.
 func (x *exchange) checkQuarantine() (quarantine.State, bool) {
 	if x.isTrial || x.g.quarantine.Empty() {
 		return quarantine.State{}, false
 	}
 	s, known := x.g.quarantine.Lookup(x.quarantineKey(), x.g.now())
 	if known && s.Pending > 0 {
-		// Sent on it may cost one more target, rejected it may be an innocent's.
+		// Wait for objections: if sent now, the request may crash one more target; if rejected
+		// now, it may be a harmless one.
 		wait.For(x.ctx, s.Pending)
 		s, known = x.g.quarantine.Lookup(x.quarantineKey(), x.g.now())
 	}
@@ -178,8 +186,8 @@
 	return s, false
 }
 
-// endTrial notes what a trial that ends without an answer showed, if the request is one: if
-// it reached no target, nothing.
+// endTrial records that a trial ended without a response, if the request is one. A trial that
+// reached no target proved nothing and is voided.
 func (x *exchange) endTrial() {
 	if !x.isTrial {
 		return
@@ -187,17 +195,17 @@
 	x.isTrial = false
 	sent := x.possibleRuns+x.refusals > 0
 	x.g.log.WithField("request", x.call.ID).WithField("key", x.quarantineKey().String()).WithField("targets", x.triedTargets).WithField("sent", sent).
-		Info("trial of a quarantined request ended without an answer")
+		Info("trial of a quarantined request ended without a response")
 	if sent {
 		return
 	}
-	if w, counted := x.g.quarantine.VoidTrial(x.quarantineKey(), x.g.now()); counted {
-		x.g.spreadSuspects([]quarantine.Report{w}, "")
+	if report, counted := x.g.quarantine.VoidTrial(x.quarantineKey(), x.g.now()); counted {
+		x.g.spreadSuspects([]quarantine.Report{report}, "")
 		x.g.scheduleSuspectsWrite()
 	}
 }
 
-// refuseQuarantined ends a request that is kept from targets.
+// refuseQuarantined rejects a quarantined request.
 func (x *exchange) refuseQuarantined(s quarantine.State) {
 	metric.QuarantineRejections.Inc()
 	x.quarantineState = &s
--- a/internal/gateway/quarantine_store.go
+++ b/internal/gateway/quarantine_store.go
@@ -14,14 +14,14 @@
 	"github.com/shedhoist/shedhoist/internal/wait"
 )
 
-// Name of the object in which suspected requests outlive all instances.
+// Kind and name of the object that keeps suspected requests when no instance is left.
 const (
 	quarantineKind = "shedhoist-quarantine"
 	quarantineName = "requests"
 )
 
-// storedSuspect is one request in the object. Times are Unix ms by the writer's clock: they
-// bound minutes.
+// storedSuspect is one request in the object. Times are Unix ms by the writer's clock; its deviation
+// does not matter, as the time limits are minutes.
 type storedSuspect struct {
 	Key         string           `json:"key"` // hexadecimal
 	Label       quarantine.Label `json:"label"`
@@ -29,103 +29,104 @@
 	Trials      int              `json:"trials,omitempty"`
 	VoidTrials  int              `json:"void,omitempty"`
 	LastTrial   int64            `json:"lastTry,omitempty"`
-	SucceededAt int64            `json:"answered,omitempty"` // whole, the last time; 0: never
+	SucceededAt int64            `json:"answered,omitempty"` // time of the last complete response; 0: none
 }
 
-// storedCrash is one crash. The target's life is in hexadecimal: a store may hold numbers as
-// floats, and a crash that comes back under another number would count twice.
+// storedCrash is one crash. The target's incarnation is stored in hexadecimal because a store may
+// keep numbers as floats: a crash read back with a rounded number would count twice.
 type storedCrash struct {
 	Target string `json:"target"`
 	At     int64  `json:"at"`
 }
 
-// storedSuspects is the object's value.
+// storedSuspects is the JSON value of the object.
 type storedSuspects struct {
 	Requests []storedSuspect `json:"requests"`
 }
 
-// encodeSuspects is the object's value at a moment.
-func encodeSuspects(words []quarantine.Report, now time.Time) ([]byte, error) {
-	v := storedSuspects{Requests: make([]storedSuspect, 0, len(words))}
-	ago := func(ms int64) int64 { return now.UnixMilli() - ms }
-	for _, w := range words {
-		s := storedSuspect{Key: w.Key.String(), Label: w.Label, Trials: w.Trials, VoidTrials: w.VoidTrials}
-		for _, c := range w.Crashes {
-			s.Crashes = append(s.Crashes, storedCrash{Target: strconv.FormatUint(uint64(c.Incarnation), 16), At: ago(c.Age)})
+// encodeSuspects returns the object's value for reports made at now.
+func encodeSuspects(reports []quarantine.Report, now time.Time) ([]byte, error) {
+	v := storedSuspects{Requests: make([]storedSuspect, 0, len(reports))}
+	timestamp := func(ms int64) int64 { return now.UnixMilli() - ms }
+	for _, report := range reports {
+		s := storedSuspect{Key: report.Key.String(), Label: report.Label, Trials: report.Trials, VoidTrials: report.VoidTrials}
+		for _, c := range report.Crashes {
+			s.Crashes = append(s.Crashes, storedCrash{Target: strconv.FormatUint(uint64(c.Incarnation), 16), At: timestamp(c.Age)})
 		}
-		if w.Trials > 0 {
-			s.LastTrial = ago(w.LastTrialAge)
+		if report.Trials > 0 {
+			s.LastTrial = timestamp(report.LastTrialAge)
 		}
-		if w.AnsweredAge >= 0 {
-			s.SucceededAt = ago(w.AnsweredAge)
+		if report.AnsweredAge >= 0 {
+			s.SucceededAt = timestamp(report.AnsweredAge)
 		}
 		v.Requests = append(v.Requests, s)
 	}
 	return json.Marshal(v)
 }
 
-// decodeSuspects reads the object's value. An entry that can't be read is left out, and counted.
-func decodeSuspects(value []byte, now time.Time) (words []quarantine.Report, unreadable int, err error) {
+// decodeSuspects decodes the object's value. Unreadable entries are left out and counted.
+func decodeSuspects(value []byte, now time.Time) (reports []quarantine.Report, unreadable int, err error) {
 	var v storedSuspects
 	if err := json.Unmarshal(value, &v); err != nil {
 		return nil, 0, err
 	}
 	age := func(at int64) int64 { return max(now.UnixMilli()-at, 0) }
 	for _, s := range v.Requests {
-		w, ok := s.report(age)
+		report, ok := s.report(age)
 		if !ok {
 			unreadable++
 			continue
 		}
-		words = append(words, w)
+		reports = append(reports, report)
 	}
-	return words, unreadable, nil
+	return reports, unreadable, nil
 }
 
-// report is the entry as instances tell it; false: it can't be read.
+// report converts the entry to a report; false: it is unreadable. age converts its times to ages.
 func (s storedSuspect) report(age func(at int64) int64) (quarantine.Report, bool) {
-	w := quarantine.Report{Label: s.Label, Trials: s.Trials, VoidTrials: s.VoidTrials, LastTrialAge: age(s.LastTrial), AnsweredAge: -1}
-	if len(s.Key) != hex.EncodedLen(len(w.Key)) {
-		return w, false
+	report := quarantine.Report{Label: s.Label, Trials: s.Trials, VoidTrials: s.VoidTrials, LastTrialAge: age(s.LastTrial), AnsweredAge: -1}
+	if len(s.Key) != hex.EncodedLen(len(report.Key)) {
+		return report, false
 	}
-	if _, err := hex.Decode(w.Key[:], []byte(s.Key)); err != nil {
-		return w, false
+	if _, err := hex.Decode(report.Key[:], []byte(s.Key)); err != nil {
+		return report, false
 	}
 	for _, c := range s.Crashes {
-		life, err := strconv.ParseUint(c.Target, 16, 64)
+		incarnation, err := strconv.ParseUint(c.Target, 16, 64)
 		if err != nil {
-			return w, false
+			return report, false
 		}
-		w.Crashes = append(w.Crashes, quarantine.Crash{Incarnation: quarantine.Incarnation(life), Age: age(c.At)})
+		report.Crashes = append(report.Crashes, quarantine.Crash{Incarnation: quarantine.Incarnation(incarnation), Age: age(c.At)})
 	}
 	if s.SucceededAt > 0 {
-		w.AnsweredAge = age(s.SucceededAt)
+		report.AnsweredAge = age(s.SucceededAt)
 	}
-	return w, true
+	return report, true
 }
 
-// readSuspects takes what the object holds, and returns its version.
+// readSuspects merges the contents of the object and returns its version; 0: there is no object.
 func (g *Gateway) readSuspects(ctx context.Context) (platform.Version, error) {
-	o, err := g.store.Get(ctx, quarantineKind, quarantineName)
-	var missing *platform.NotFoundError
-	if errors.As(err, &missing) {
+	object, err := g.store.Get(ctx, quarantineKind, quarantineName)
+	var notFound *platform.NotFoundError
+	if errors.As(err, &notFound) {
 		return 0, nil
 	}
 	if err != nil {
 		return 0, err
 	}
-	words, unreadable, err := decodeSuspects(o.Value, g.now())
+	reports, unreadable, err := decodeSuspects(object.Value, g.now())
 	if err != nil {
-		// It is written anew with what is known here: an object that nobody can read is of no use.
-		g.log.WithError(err).Error("suspected requests not readable")
-		return o.Version, nil
+		// The next write replaces the object by what is known here: a value that no instance can
+		// decode is of no use.
+		g.log.WithError(err).Error("stored suspected requests are unreadable")
+		return object.Version, nil
 	}
 	g.countUnreadable(quarantineKind, unreadable)
-	g.mergeSuspects(words, "")
-	return o.Version, nil
+	g.mergeSuspects(reports, "")
+	return object.Version, nil
 }
 
-// writeSuspects adds what is known here to what the object holds.
+// writeSuspects merges the contents of the object and writes the result back.
 func (g *Gateway) writeSuspects(ctx context.Context) error {
 	version, err := g.readSuspects(ctx)
 	if err != nil {
@@ -134,7 +135,7 @@
 	return g.putSuspects(ctx, version)
 }
 
-// putSuspects writes all that is known here, if the object still is at a version.
+// putSuspects writes all reports of this instance if the object still has version want.
 func (g *Gateway) putSuspects(ctx context.Context, want platform.Version) error {
 	now := g.now()
 	value, err := encodeSuspects(g.quarantine.Reports(now), now)
@@ -145,11 +146,11 @@
 	return err
 }
 
-// claimTimeout bounds the claim of a trial: the request that is to be the trial waits for it.
+// claimTimeout limits the claim of a trial, for which the request waits.
 const claimTimeout = 300 * time.Millisecond
 
-// claimTrial claims the right to let one request through. The conditional write makes it one
-// in the whole fleet; without the object store there is none.
+// claimTrial claims the right to let one request through as a trial. The conditional write ensures
+// that only one instance of the fleet gets it. Without the object store there are no trials.
 func (g *Gateway) claimTrial(ctx context.Context, k quarantine.Key) bool {
 	if !g.storeReachable.Load() {
 		return false
@@ -161,7 +162,7 @@
 		g.log.WithError(err).WithField("key", k.String()).Info("trial of a quarantined request not claimed")
 		return false
 	}
-	w, due := g.quarantine.StartTrial(k, g.now())
+	report, due := g.quarantine.StartTrial(k, g.now())
 	if !due {
 		return false
 	}
@@ -169,33 +170,33 @@
 		g.log.WithError(err).WithField("key", k.String()).Info("trial of a quarantined request not claimed")
 		return false
 	}
-	g.spreadSuspects([]quarantine.Report{w}, "")
+	g.spreadSuspects([]quarantine.Report{report}, "")
 	return true
 }
 
-// scheduleSuspectsWrite has what is known here written to the object store.
+// scheduleSuspectsWrite makes maintainQuarantine write the reports to the object store.
 func (g *Gateway) scheduleSuspectsWrite() {
 	g.suspectsUnsaved.Store(true)
 	g.suspectsDue.Raise()
 }
 
-// quarantineInterval is how often quarantines are looked after while there may be any.
+// quarantineInterval is how often quarantines are checked while there may be any.
 const quarantineInterval = time.Second
 
-// maintainQuarantine reads the object once, keeps it up to date, and tells operators what begins
-// and ends.
+// maintainQuarantine starts loadSuspects, then expires old entries, writes unsaved reports to the
+// object store, and logs the beginning and end of quarantines, until ctx ends.
 func (g *Gateway) maintainQuarantine(ctx context.Context) {
 	g.spawn(func() { g.loadSuspects(ctx) })
-	shown := map[quarantine.Key]quarantine.State{}
+	logged := map[quarantine.Key]quarantine.State{}
 	failures := 0
 	for ctx.Err() == nil {
-		pace := quarantine.Retention
+		interval := quarantine.Retention
 		if !g.quarantine.Empty() {
-			pace = quarantineInterval
+			interval = quarantineInterval
 		}
-		g.suspectsDue.Wait(ctx, pace)
+		g.suspectsDue.Wait(ctx, interval)
 		g.quarantine.Expire(g.now())
-		g.logQuarantines(shown)
+		g.logQuarantines(logged)
 		if !g.suspectsUnsaved.Load() || len(g.quarantine.Reports(g.now())) == 0 {
 			continue
 		}
@@ -211,7 +212,8 @@
 	}
 }
 
-// loadSuspects reads the object at the start. In a large fleet the watchers do, and tell.
+// loadSuspects reads the object when the process starts. In a large fleet only the watchers read it,
+// and the other instances receive the reports from them.
 func (g *Gateway) loadSuspects(ctx context.Context) {
 	for g.isJoining() {
 		if !wait.For(ctx, minWatchInterval) {
@@ -232,32 +234,33 @@
 	}
 }
 
-// logQuarantines writes a line on each quarantine that has begun or ended since shown.
-func (g *Gateway) logQuarantines(shown map[quarantine.Key]quarantine.State) {
+// logQuarantines logs each quarantine that has begun or ended since the last call, sets the metrics,
+// and keeps in logged the quarantines whose beginning has been logged.
+func (g *Gateway) logQuarantines(logged map[quarantine.Key]quarantine.State) {
 	now := g.now()
-	suspects, held := g.quarantine.Suspects(now), map[quarantine.Key]bool{}
+	suspects, rejected := g.quarantine.Suspects(now), map[quarantine.Key]bool{}
 	for _, s := range suspects {
 		if !s.Rejected {
 			continue
 		}
-		held[s.Key] = true
-		if _, known := shown[s.Key]; !known {
+		rejected[s.Key] = true
+		if _, known := logged[s.Key]; !known {
 			g.log.WithField("key", s.Key.String()).WithField("customer", s.Label.Customer).WithField("route", s.Label.Route).WithField("crashes", s.Crashes).
 				WithField("left_ms", s.Remaining.Milliseconds()).Warn("requests quarantined")
 		}
-		shown[s.Key] = s
+		logged[s.Key] = s
 	}
-	for k, s := range shown {
-		if held[k] {
+	for k, s := range logged {
+		if rejected[k] {
 			continue
 		}
-		why := "answered"
+		reason := "answered"
 		if s.Remaining <= 2*quarantineInterval {
-			why = "over"
+			reason = "over"
 		}
-		g.log.WithField("key", k.String()).WithField("customer", s.Label.Customer).WithField("route", s.Label.Route).WithField("why", why).Info("quarantine ended")
-		delete(shown, k)
+		g.log.WithField("key", k.String()).WithField("customer", s.Label.Customer).WithField("route", s.Label.Route).WithField("why", reason).Info("quarantine ended")
+		delete(logged, k)
 	}
-	metric.SetGauge("shedhoist_quarantined_requests", float64(len(held)))
+	metric.SetGauge("shedhoist_quarantined_requests", float64(len(rejected)))
 	metric.SetGauge("shedhoist_suspected_requests", float64(len(suspects)))
 }
--- a/internal/gateway/quarantine_store_test.go
+++ b/internal/gateway/quarantine_store_test.go
@@ -10,25 +10,26 @@
 	"github.com/shedhoist/shedhoist/internal/core/quarantine"
 )
 
-// TestSuspectsSurviveFloats guards against a crash that counts twice since a store keeps numbers as floats.
+// TestSuspectsSurviveFloats guards against a crash that counts twice because the object store keeps
+// numbers as floats.
 func TestSuspectsSurviveFloats(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(2000, 0)
-	b, k := quarantine.NewTracker(), quarantine.KeyOf(quarantine.Request{URI: "/x"})
+	tracker, key := quarantine.NewTracker(), quarantine.KeyOf(quarantine.Request{URI: "/x"})
 	for i := range 2 {
-		b.RecordCrash(k, quarantine.Label{}, quarantine.Incarnation(1<<63+12345+uint64(i)), now)
+		tracker.RecordCrash(key, quarantine.Label{}, quarantine.Incarnation(1<<63+12345+uint64(i)), now)
 	}
-	value, err := encodeSuspects(b.Reports(now), now)
+	value, err := encodeSuspects(tracker.Reports(now), now)
 	is.NoErr(err)
-	var loose any
-	is.NoErr(json.Unmarshal(value, &loose))
-	value, err = json.Marshal(loose)
+	var decoded any
+	is.NoErr(json.Unmarshal(value, &decoded))
+	value, err = json.Marshal(decoded)
 	is.NoErr(err)
-	words, unreadable, err := decodeSuspects(value, now)
+	reports, unreadable, err := decodeSuspects(value, now)
 	is.NoErr(err)
 	is.Equal(unreadable, 0)
-	b.Merge(words, now)
-	s, known := b.Lookup(k, now)
+	tracker.Merge(reports, now)
+	s, known := tracker.Lookup(key, now)
 	is.True(known)
 	is.Equal(s.Crashes, 2)
 }
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -15,22 +15,23 @@
 	"github.com/shedhoist/shedhoist/internal/problem"
 )
 
-// What may come of a request that crashes its targets: it may be tried a few times more by
-// instances that could hear of the third crash.
+// Limits on the harm of a request that crashes its targets: after maxCrashes crashes and the time in
+// which all instances learn of them, trials may crash maxLateCrashes more targets.
 const (
-	contactTime = 3 * time.Second
-	maxCrashes  = 3
-	maxTries    = 3
+	propagationTime = 3 * time.Second
+	maxCrashes      = 3
+	maxLateCrashes  = 3
 )
 
-// crashCounter counts the crashes under one request.
+// crashCounter counts the crashes caused by one request.
 type crashCounter struct {
-	mu   sync.Mutex
-	at   []time.Time
-	late int // those that came contactTime after the third
+	mu    sync.Mutex
+	times []time.Time
+	late  int // those more than propagationTime after the maxCrashes-th
 }
 
-// crashesOn is a target's reaction to a body that crashes it.
+// crashesOn returns a function that reports whether a request body crashes a target, which is so for
+// body, and counts the crashes.
 func (c *crashCounter) crashesOn(body string) func(string) bool {
 	return func(got string) bool {
 		if got != body {
@@ -38,8 +39,8 @@
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.at = append(c.at, time.Now())
-		if len(c.at) > maxCrashes && time.Since(c.at[maxCrashes-1]) > contactTime {
+		c.times = append(c.times, time.Now())
+		if len(c.times) > maxCrashes && time.Since(c.times[maxCrashes-1]) > propagationTime {
 			c.late++
 		}
 		return true
@@ -49,54 +50,55 @@
 func (c *crashCounter) total() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.at)
+	return len(c.times)
 }
 
-// sendInnocents sends requests that harm nobody, each of its own, and counts answers.
-func (f *trafficFleet) sendInnocents(n int, every time.Duration) (served int) {
+// sendInnocents sends n distinct harmless requests and returns how many got status 200.
+func (f *trafficFleet) sendInnocents(n int, interval time.Duration) (served int) {
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range n {
-		all.Add(1)
+		wg.Add(1)
 		go func() {
-			defer all.Done()
+			defer wg.Done()
 			if f.request(i%len(f.gateways), pathSafe, fmt.Sprintf("innocent %d of %v", i, time.Now().UnixNano())).status == 200 {
 				mu.Lock()
 				served++
 				mu.Unlock()
 			}
 		}()
-		time.Sleep(every)
+		time.Sleep(interval)
 	}
-	all.Wait()
+	wg.Wait()
 	return served
 }
 
-// TestCrashingRequest guards against a request that ends one target after the other, by any instance.
+// TestCrashingRequest guards against a request that crashes one target after the other, whichever
+// instances it is sent to.
 func TestCrashingRequest(t *testing.T) {
 	const body = "this crashes its target"
-	away := []int{3, 4} // instances that some cases cut off
+	isolated := []int{3, 4} // instances that some cases isolate
 	cases := []struct {
 		name   string
 		path   string
 		n      int
-		before func(f *trafficFleet) // the first crash
-		after  func(f *trafficFleet) // the third one, and the time to hear of it
+		before func(f *trafficFleet) // before the first crash
+		after  func(f *trafficFleet) // after the last one of maxCrashes and propagationTime
 	}{
-		{"nothing else", pathOnce, 9, nil, nil},
-		{"it may be repeated", pathSafe, 9, nil, nil},
+		{"no other fault", pathOnce, 9, nil, nil},
+		{"request may be repeated", pathSafe, 9, nil, nil},
 		{"a large fleet", pathOnce, 60, nil, nil},
 		{"all instances restart", pathOnce, 9, nil, (*trafficFleet).restartAll},
 		{"all instances of a large fleet restart", pathOnce, 60, nil, (*trafficFleet).restartAll},
 		{"the object store is silent", pathOnce, 9, func(f *trafficFleet) { f.silenceStore(true) }, nil},
 		{"the object store is silent until all restart", pathOnce, 9, func(f *trafficFleet) { f.silenceStore(true) }, func(f *trafficFleet) {
 			f.silenceStore(false)
-			time.Sleep(contactTime)
+			time.Sleep(propagationTime)
 			f.restartAll()
 		}},
 		{"an instance starts later", pathOnce, 9, nil, func(f *trafficFleet) { f.addInstance() }},
-		{"an instance starts later, and the object store is silent to it", pathOnce, 9, nil, func(f *trafficFleet) { f.storeClients[f.addInstance()].setSilent(true) }},
-		{"instances come back that were cut off", pathOnce, 9, func(f *trafficFleet) { f.isolate(away, true) }, func(f *trafficFleet) { f.isolate(away, false) }},
+		{"an instance starts later and cannot reach the object store", pathOnce, 9, nil, func(f *trafficFleet) { f.storeClients[f.addInstance()].setSilent(true) }},
+		{"isolated instances return", pathOnce, 9, func(f *trafficFleet) { f.isolate(isolated, true) }, func(f *trafficFleet) { f.isolate(isolated, false) }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -110,42 +112,42 @@
 					c.before(f)
 				}
 				for i := 0; crashed.total() < maxCrashes; i++ {
-					f.request(i%away[0], c.path, body)
+					f.request(i%isolated[0], c.path, body)
 					time.Sleep(200 * time.Millisecond)
 				}
-				time.Sleep(contactTime)
+				time.Sleep(propagationTime)
 				if c.after != nil {
 					c.after(f)
 					f.awaitReady(len(f.gateways))
-					time.Sleep(contactTime)
+					time.Sleep(propagationTime)
 				}
-				again := make(chan struct{})
+				resent := make(chan struct{})
 				go func() {
-					defer close(again)
+					defer close(resent)
 					for i := range 240 {
 						f.request(i%len(f.gateways), c.path, body)
 						time.Sleep(50 * time.Millisecond)
 					}
 				}()
 				served := f.sendInnocents(300, 50*time.Millisecond)
-				<-again
-				t.Logf("%d crashes, %d of them late; %d others served", crashed.total(), crashed.late, served)
-				is.True(crashed.late <= maxTries)
+				<-resent
+				t.Logf("%d crashes, %d of them late; %d harmless requests served", crashed.total(), crashed.late, served)
+				is.True(crashed.late <= maxLateCrashes)
 				is.Equal(served, 300)
 			})
 		})
 	}
 }
 
-// sendAlike sends requests that are all the same, and returns how the last ones ended, and how
-// many of all were rejected as such that crash targets.
-func (f *trafficFleet) sendAlike(path, body string, n, last int, every time.Duration) (served, rejected int) {
+// sendAlike sends n identical requests. It returns how many of the last ones got status 200, and how
+// many of all were rejected as quarantined.
+func (f *trafficFleet) sendAlike(path, body string, n, last int, interval time.Duration) (served, rejected int) {
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range n {
-		all.Add(1)
+		wg.Add(1)
 		go func() {
-			defer all.Done()
+			defer wg.Done()
 			a := f.request(i%len(f.gateways), path, body)
 			mu.Lock()
 			defer mu.Unlock()
@@ -156,29 +158,30 @@
 				rejected++
 			}
 		}()
-		time.Sleep(every)
+		time.Sleep(interval)
 	}
-	all.Wait()
+	wg.Wait()
 	return served, rejected
 }
 
-// TestAlikeInnocentRequests guards against a lasting quarantine of what many send alike while targets end of themselves.
+// TestAlikeInnocentRequests guards against a lasting quarantine of identical harmless requests that
+// are running at targets which crash for other reasons.
 func TestAlikeInnocentRequests(t *testing.T) {
-	const body = "what everybody asks"
+	const body = "sent by everybody"
 	cases := []struct {
 		name    string
 		n       int
 		path    string
 		crashes []time.Duration // from the first request on
-		targets int             // that crash at a time, of 12
-		spared  bool            // nobody is rejected at any time
+		targets int             // how many of the 12 crash at a time
+		spared  bool            // no request is rejected at any time
 	}{
-		{"half of the targets end at once, three times", 9, pathSafe, []time.Duration{2 * time.Second, 6 * time.Second, 10 * time.Second}, 6, true},
-		{"the same, of requests that run once", 9, pathOnce, []time.Duration{2 * time.Second, 6 * time.Second, 10 * time.Second}, 6, true},
-		{"the same in a large fleet", 60, pathOnce, []time.Duration{2 * time.Second, 6 * time.Second, 10 * time.Second}, 6, true},
-		{"one after the other", 9, pathOnce, []time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second, 5 * time.Second, 6 * time.Second, 7 * time.Second}, 1, true},
-		{"all end before any answered", 9, pathOnce, []time.Duration{50 * time.Millisecond}, 12, false},
-		{"all end before any answered, in a large fleet", 60, pathOnce, []time.Duration{50 * time.Millisecond}, 12, false},
+		{"half of the targets crash at once, three times", 9, pathSafe, []time.Duration{2 * time.Second, 6 * time.Second, 10 * time.Second}, 6, true},
+		{"the same, with requests that may not be repeated", 9, pathOnce, []time.Duration{2 * time.Second, 6 * time.Second, 10 * time.Second}, 6, true},
+		{"the same, in a large fleet", 60, pathOnce, []time.Duration{2 * time.Second, 6 * time.Second, 10 * time.Second}, 6, true},
+		{"one target after the other", 9, pathOnce, []time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second, 5 * time.Second, 6 * time.Second, 7 * time.Second}, 1, true},
+		{"all targets crash before any response", 9, pathOnce, []time.Duration{50 * time.Millisecond}, 12, false},
+		{"all targets crash before any response, in a large fleet", 60, pathOnce, []time.Duration{50 * time.Millisecond}, 12, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -203,7 +206,8 @@
 	}
 }
 
-// TestAnnouncedEnd guards against blame for the end of a target that leaves as announced, on what runs there.
+// TestAnnouncedEnd guards against requests that are blamed for the end of a target that had announced
+// that it leaves.
 func TestAnnouncedEnd(t *testing.T) {
 	for _, announced := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -234,7 +238,7 @@
 	}
 }
 
-// TestBrokenConnections guards against a broken connection being taken for a crash of its target.
+// TestBrokenConnections guards against broken connections that count as crashes of their target.
 func TestBrokenConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -255,29 +259,30 @@
 	})
 }
 
-// TestStoredSuspects guards against a stored suspect read as another, or lost by a spoiled one beside it.
+// TestStoredSuspects guards against a stored suspect that changes when it is read back, or is lost
+// because another entry is unreadable.
 func TestStoredSuspects(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(2000, 0)
-	b := quarantine.NewTracker()
-	k := quarantine.KeyOf(quarantine.Request{Customer: "c", URI: "/x"})
+	tracker := quarantine.NewTracker()
+	key := quarantine.KeyOf(quarantine.Request{Customer: "c", URI: "/x"})
 	for i := range 3 {
-		b.RecordCrash(k, quarantine.Label{Customer: "c", Route: "r"}, quarantine.Incarnation(i+1), now.Add(time.Duration(i-10)*time.Second))
+		tracker.RecordCrash(key, quarantine.Label{Customer: "c", Route: "r"}, quarantine.Incarnation(i+1), now.Add(time.Duration(i-10)*time.Second))
 	}
-	_, due := b.StartTrial(k, now)
+	_, due := tracker.StartTrial(key, now)
 	is.True(due)
-	value, err := encodeSuspects(b.Reports(now), now)
+	value, err := encodeSuspects(tracker.Reports(now), now)
 	is.NoErr(err)
-	words, unreadable, err := decodeSuspects(value, now)
+	reports, unreadable, err := decodeSuspects(value, now)
 	is.NoErr(err)
 	is.Equal(unreadable, 0)
-	is.Equal(words, b.Reports(now))
-	for _, bad := range []string{`{"key":"zz"}`, `{"key":"00"}`, `{}`} {
-		spoiled := strings.Replace(string(value), "[", "["+bad+",", 1)
-		words, unreadable, err = decodeSuspects([]byte(spoiled), now)
+	is.Equal(reports, tracker.Reports(now))
+	for _, entry := range []string{`{"key":"zz"}`, `{"key":"00"}`, `{}`} {
+		corrupted := strings.Replace(string(value), "[", "["+entry+",", 1)
+		reports, unreadable, err = decodeSuspects([]byte(corrupted), now)
 		is.NoErr(err)
 		is.Equal(unreadable, 1)
-		is.Equal(words, b.Reports(now))
+		is.Equal(reports, tracker.Reports(now))
 	}
 	_, _, err = decodeSuspects([]byte(`"x"`), now)
 	is.True(err != nil)
