--- a/cmd/shedhoistd/main.go
+++ b/cmd/shedhoistd/main.go
@@ -17,7 +17,7 @@
 
 func main() {
 	if len(os.Args) >= 2 && os.Args[1] == hosted {
-		os.Exit(gateway.Main(platform.Start(), os.Args[2:], os.Stdout, os.Stderr))
+		os.Exit(gateway.Main(platform.StartOptions(), os.Args[2:], os.Stdout, os.Stderr))
 	}
 	os.Exit(daemon.Main(os.Args[1:], os.Stdout, os.Stderr))
 }
