--- a/internal/gateway/backoff_test.go
+++ b/internal/gateway/backoff_test.go
@@ -54,27 +54,27 @@
 
 // scriptedResponse is how a target answers one request.
 type scriptedResponse struct {
-	status      int
-	notExecuted bool
-	backoff     time.Duration // asked for; 0: none
-	duration    time.Duration
-	breaks      bool // a stream that breaks behind its first event
+	status       int
+	notExecuted  bool
+	backoff      time.Duration // asked for; 0: none
+	duration     time.Duration
+	breaksStream bool // a stream that breaks behind its first event
 }
 
 // responseScript says how a target answers its n-th request, at a time since the play began.
 type responseScript func(since time.Duration, n int, body string) scriptedResponse
 
-func served(time.Duration, int, string) scriptedResponse {
+func serve(time.Duration, int, string) scriptedResponse {
 	return scriptedResponse{status: http.StatusOK, duration: runTime}
 }
 
 // overloadedUntil turns all away and asks for rest each time, until an end; then it serves.
-func overloadedUntil(end, rest time.Duration) responseScript {
+func overloadedUntil(end, backoff time.Duration) responseScript {
 	return func(since time.Duration, n int, body string) scriptedResponse {
 		if since < end {
-			return scriptedResponse{status: http.StatusServiceUnavailable, notExecuted: true, backoff: rest}
+			return scriptedResponse{status: http.StatusServiceUnavailable, notExecuted: true, backoff: backoff}
 		}
-		return served(since, n, body)
+		return serve(since, n, body)
 	}
 }
 
@@ -84,7 +84,7 @@
 		if n%k == 0 {
 			return scriptedResponse{status: http.StatusInternalServerError, duration: runTime}
 		}
-		return served(since, n, body)
+		return serve(since, n, body)
 	}
 }
 
@@ -123,9 +123,9 @@
 // writeEntry writes the entry of the target's life.
 func (m *backoffTarget) writeEntry() {
 	m.mu.Lock()
-	born := m.startedAt
+	startedAt := m.startedAt
 	m.mu.Unlock()
-	m.f.store.set(memoryTargets, m.name, catalog.Target{Service: "s", Address: m.name + ":1", Zone: "z0", Start: born})
+	m.f.store.set(memoryTargets, m.name, catalog.Target{Service: "s", Address: m.name + ":1", Zone: "z0", Start: startedAt})
 }
 
 // stop ends the life.
@@ -175,19 +175,19 @@
 	if err != nil {
 		return // its caller is gone
 	}
-	reply := m.script(time.Since(m.f.began), n, string(body))
-	time.Sleep(reply.duration)
+	response := m.script(time.Since(m.f.startedAt), n, string(body))
+	time.Sleep(response.duration)
 	h := w.Header()
 	h.Set(trafficID, r.Header.Get(trafficID))
-	if reply.notExecuted {
+	if response.notExecuted {
 		h.Set(backoffNotExecutedHeader, "1")
 	}
-	if reply.backoff > 0 {
-		m.recordBackoff(reply.backoff)
-		h.Set(backoffHeader, reply.backoff.String())
+	if response.backoff > 0 {
+		m.recordBackoff(response.backoff)
+		h.Set(backoffHeader, response.backoff.String())
 	}
-	w.WriteHeader(reply.status)
-	if !reply.breaks {
+	w.WriteHeader(response.status)
+	if !response.breaksStream {
 		fmt.Fprintf(w, "id: 1\ndata: %s\n\n", m.name)
 		return
 	}
@@ -199,24 +199,24 @@
 // backoffFleet is a fleet before targets that ask for rest.
 type backoffFleet struct {
 	*trafficFleet
-	loadGenerators []*backoffTarget
-	began          time.Time // of the play
+	backoffTargets []*backoffTarget
+	startedAt      time.Time // of the play
 }
 
 func newBackoffFleet(t *testing.T, n int, scripts ...responseScript) *backoffFleet {
 	f := &backoffFleet{trafficFleet: newFleetWith(t, n, 1, 0, fleetOptions{codec: backoffCodec{}})}
 	for i, s := range scripts {
 		m := &backoffTarget{f: f, name: fmt.Sprintf("t-%02d", i), script: s}
-		f.loadGenerators = append(f.loadGenerators, m)
+		f.backoffTargets = append(f.backoffTargets, m)
 		m.start()
 	}
 	time.Sleep(2 * time.Second)
-	f.began = time.Now()
+	f.startedAt = time.Now()
 	return f
 }
 
 func (f *backoffFleet) end() {
-	for _, m := range f.loadGenerators {
+	for _, m := range f.backoffTargets {
 		m.stop()
 	}
 	f.stop()
@@ -226,13 +226,13 @@
 type backoffResponse struct {
 	status       int // 0: none
 	body         string
-	whole        bool
-	retry        time.Duration // when to come back
+	complete     bool
+	retryAfter   time.Duration // when to come back
 	at, duration time.Duration // at since the play began
 }
 
-// isLocal says whether the request was refused by the instance since targets rest.
-func (a backoffResponse) isLocal() bool {
+// isBackoffRefusal says whether the request was refused by the instance since targets rest.
+func (a backoffResponse) isBackoffRefusal() bool {
 	return a.status == http.StatusServiceUnavailable && strings.Contains(a.body, `"not-run"`) && strings.Contains(a.body, "asked for rest")
 }
 
@@ -240,8 +240,8 @@
 func (f *backoffFleet) send(i int, path, body string) backoffResponse {
 	ctx, cancel := context.WithTimeout(f.t.Context(), 5*time.Second)
 	defer cancel()
-	began := time.Now()
-	a := backoffResponse{at: began.Sub(f.began)}
+	start := time.Now()
+	a := backoffResponse{at: start.Sub(f.startedAt)}
 	conn, err := f.net.dialFrom("caller")(ctx, "memory", f.gateways[i].CallerAddr())
 	if err != nil {
 		return a
@@ -261,9 +261,9 @@
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
-	a.status, a.body, a.whole, a.duration = resp.StatusCode, string(data), err == nil, time.Since(began)
+	a.status, a.body, a.complete, a.duration = resp.StatusCode, string(data), err == nil, time.Since(start)
 	if s, err := strconv.ParseFloat(resp.Header.Get(backoffRetryAfterHeader), 64); err == nil {
-		a.retry = time.Duration(s * float64(time.Second))
+		a.retryAfter = time.Duration(s * float64(time.Second))
 	}
 	return a
 }
@@ -271,14 +271,14 @@
 // sendLoad sends requests to the first instance for some time, and returns their answers in the
 // order in which they were sent.
 func (f *backoffFleet) sendLoad(path string, every, during time.Duration) []backoffResponse {
-	answers := make([]backoffResponse, during/every)
-	var all sync.WaitGroup
-	for i := range answers {
-		all.Go(func() { answers[i] = f.send(0, path, "x") })
+	responses := make([]backoffResponse, during/every)
+	var requests sync.WaitGroup
+	for i := range responses {
+		requests.Go(func() { responses[i] = f.send(0, path, "x") })
 		time.Sleep(every)
 	}
-	all.Wait()
-	return answers
+	requests.Wait()
+	return responses
 }
 
 // grace is how long after a refusal requests may still come, and maxRequestsInBackoff how many in the
@@ -288,28 +288,28 @@
 	maxRequestsInBackoff = 2
 )
 
-// check finds requests that reached targets in the rest that these had asked for: none may.
-func (f *backoffFleet) check() {
+// checkBackoffs finds requests that reached targets in the rest that these had asked for: none may.
+func (f *backoffFleet) checkBackoffs() {
 	f.t.Helper()
-	for _, m := range f.loadGenerators {
-		broken, most := 0, 0
-		for _, a := range m.backoffPeriods() {
-			n := m.countBetween(a.from.Add(backoffGrace), a.until)
-			most = max(most, n)
+	for _, m := range f.backoffTargets {
+		violations, maxRequests := 0, 0
+		for _, period := range m.backoffPeriods() {
+			n := m.countBetween(period.from.Add(backoffGrace), period.until)
+			maxRequests = max(maxRequests, n)
 			if n > maxRequestsInBackoff {
-				broken++
+				violations++
 			}
 		}
-		if most > 0 {
-			f.t.Errorf("%s asked for rest %d times and got up to %d requests in such a time; %d times more than %d", m.name, len(m.backoffPeriods()), most, broken, maxRequestsInBackoff)
+		if maxRequests > 0 {
+			f.t.Errorf("%s asked for rest %d times and got up to %d requests in such a time; %d times more than %d", m.name, len(m.backoffPeriods()), maxRequests, violations, maxRequestsInBackoff)
 		}
 	}
 }
 
 // count counts the answers for which something holds.
-func count(answers []backoffResponse, holds func(a backoffResponse) bool) int {
+func count(responses []backoffResponse, holds func(a backoffResponse) bool) int {
 	n := 0
-	for _, a := range answers {
+	for _, a := range responses {
 		if holds(a) {
 			n++
 		}
@@ -323,7 +323,7 @@
 		every = 20 * time.Millisecond
 		slow  = 400 * time.Millisecond
 	)
-	isOK := func(a backoffResponse) bool { return a.status == http.StatusOK && a.whole }
+	isOK := func(a backoffResponse) bool { return a.status == http.StatusOK && a.complete }
 	cases := []struct {
 		name    string
 		scripts []responseScript
@@ -344,20 +344,20 @@
 				return scriptedResponse{status: http.StatusOK, duration: slow}
 			}
 			return overloadedUntil(slow/2, 3*time.Second)(since, n, body)
-		}, served}, func(is *is.I, f *backoffFleet) {
-			var all sync.WaitGroup
-			defer all.Wait()
-			for len(f.loadGenerators[0].receivedAll()) == 0 {
-				all.Go(func() { f.send(0, pathSafe, "slow") })
+		}, serve}, func(is *is.I, f *backoffFleet) {
+			var requests sync.WaitGroup
+			defer requests.Wait()
+			for len(f.backoffTargets[0].receivedAll()) == 0 {
+				requests.Go(func() { f.send(0, pathSafe, "slow") })
 				time.Sleep(every)
 			}
-			for len(f.loadGenerators[0].backoffPeriods()) == 0 {
-				is.True(time.Since(f.began) < slow/2)
-				all.Go(func() { f.send(0, pathSafe, "x") })
+			for len(f.backoffTargets[0].backoffPeriods()) == 0 {
+				is.True(time.Since(f.startedAt) < slow/2)
+				requests.Go(func() { f.send(0, pathSafe, "x") })
 				time.Sleep(every / 4)
 			}
-			answers := f.sendLoad(pathSafe, every/10, 2*time.Second) // one target is too few for these
-			is.Equal(count(answers, isOK), len(answers))
+			responses := f.sendLoad(pathSafe, every/10, 2*time.Second) // one target is too few for these
+			is.Equal(count(responses, isOK), len(responses))
 		}},
 		{"a shorter rest after a longer one", []responseScript{func(since time.Duration, n int, body string) scriptedResponse {
 			switch n {
@@ -366,42 +366,42 @@
 			case 2:
 				return scriptedResponse{status: http.StatusServiceUnavailable, notExecuted: true, backoff: time.Second, duration: 100 * time.Millisecond}
 			}
-			return served(since, n, body)
+			return serve(since, n, body)
 		}}, func(is *is.I, f *backoffFleet) {
 			f.sendLoad(pathSafe, time.Millisecond, 2*time.Millisecond)
-			is.Equal(len(f.loadGenerators[0].backoffPeriods()), 2)
+			is.Equal(len(f.backoffTargets[0].backoffPeriods()), 2)
 			f.sendLoad(pathSafe, every, 5*time.Second)
 		}},
 		{"all targets ask", []responseScript{overloadedUntil(4*time.Second, 2*time.Second), overloadedUntil(4*time.Second, 2*time.Second), overloadedUntil(4*time.Second, 2*time.Second)}, func(is *is.I, f *backoffFleet) {
-			answers := f.sendLoad(pathSafe, every, 8*time.Second)
-			for _, a := range answers {
+			responses := f.sendLoad(pathSafe, every, 8*time.Second)
+			for _, a := range responses {
 				if a.at < 200*time.Millisecond || a.at > 1900*time.Millisecond {
 					continue
 				}
-				is.True(a.isLocal())
+				is.True(a.isBackoffRefusal())
 				is.True(a.duration < 50*time.Millisecond) // nothing is held
-				is.True(a.retry >= retryAfterShort)
-				is.True(a.retry <= 1500*time.Millisecond)
+				is.True(a.retryAfter >= retryAfterShort)
+				is.True(a.retryAfter <= 1500*time.Millisecond)
 			}
-			is.Equal(count(answers[len(answers)-50:], isOK), 50)
+			is.Equal(count(responses[len(responses)-50:], isOK), 50)
 		}},
 		{"the only target", []responseScript{overloadedUntil(time.Second, 2*time.Second)}, func(is *is.I, f *backoffFleet) {
-			answers := f.sendLoad(pathSafe, every, 4*time.Second)
-			is.True(count(answers, backoffResponse.isLocal) > 80)
-			is.Equal(count(answers[len(answers)-50:], isOK), 50)
+			responses := f.sendLoad(pathSafe, every, 4*time.Second)
+			is.True(count(responses, backoffResponse.isBackoffRefusal) > 80)
+			is.Equal(count(responses[len(responses)-50:], isOK), 50)
 		}},
 		{"the target starts again", []responseScript{overloadedUntil(500*time.Millisecond, 20*time.Second)}, func(is *is.I, f *backoffFleet) {
 			f.send(0, pathSafe, "x")
-			f.check()
-			f.loadGenerators[0].stop()
+			f.checkBackoffs()
+			f.backoffTargets[0].stop()
 			time.Sleep(time.Second)
-			f.loadGenerators[0].start()
+			f.backoffTargets[0].start()
 			time.Sleep(time.Second)
-			answers := f.sendLoad(pathSafe, every, time.Second)
-			is.Equal(count(answers, isOK), len(answers)) // what another life asked for is no wish of this one
+			responses := f.sendLoad(pathSafe, every, time.Second)
+			is.Equal(count(responses, isOK), len(responses)) // what another life asked for is no wish of this one
 		}},
 		{"streams that break", []responseScript{func(time.Duration, int, string) scriptedResponse {
-			return scriptedResponse{status: http.StatusOK, duration: runTime, breaks: true}
+			return scriptedResponse{status: http.StatusOK, duration: runTime, breaksStream: true}
 		}, overloadedUntil(5*time.Second, 3*time.Second)}, func(is *is.I, f *backoffFleet) {
 			f.sendLoad(pathStream, every, 4*time.Second)
 		}},
@@ -412,40 +412,40 @@
 			if n == 1 {
 				return scriptedResponse{status: http.StatusServiceUnavailable, backoff: 2 * time.Second}
 			}
-			return served(since, n, body)
+			return serve(since, n, body)
 		}}, func(is *is.I, f *backoffFleet) {
 			a := f.send(0, pathOnce, "x")
 			is.Equal(a.status, http.StatusServiceUnavailable)
-			is.True(!a.isLocal())
-			answers := f.sendLoad(pathOnce, every, 3*time.Second)
-			is.True(count(answers, backoffResponse.isLocal) > 90)
-			is.Equal(count(answers[len(answers)-40:], isOK), 40)
+			is.True(!a.isBackoffRefusal())
+			responses := f.sendLoad(pathOnce, every, 3*time.Second)
+			is.True(count(responses, backoffResponse.isBackoffRefusal) > 90)
+			is.Equal(count(responses[len(responses)-40:], isOK), 40)
 		}},
-		{"the rest is over", []responseScript{overloadedUntil(time.Second, 2*time.Second), served, served}, func(is *is.I, f *backoffFleet) {
-			answers := f.sendLoad(pathSafe, 10*time.Millisecond, 8*time.Second)
-			is.Equal(count(answers[20:], isOK), len(answers)-20)
-			wishes := f.loadGenerators[0].backoffPeriods()
-			is.True(len(wishes) > 0)
-			over := wishes[len(wishes)-1].until
-			is.True(f.loadGenerators[0].countBetween(over, over.Add(runTime)) <= 2)           // few at first
-			is.True(f.loadGenerators[0].countBetween(over, over.Add(4*time.Second)) > 400/10) // then as before
+		{"the rest is over", []responseScript{overloadedUntil(time.Second, 2*time.Second), serve, serve}, func(is *is.I, f *backoffFleet) {
+			responses := f.sendLoad(pathSafe, 10*time.Millisecond, 8*time.Second)
+			is.Equal(count(responses[20:], isOK), len(responses)-20)
+			periods := f.backoffTargets[0].backoffPeriods()
+			is.True(len(periods) > 0)
+			end := periods[len(periods)-1].until
+			is.True(f.backoffTargets[0].countBetween(end, end.Add(runTime)) <= 2)           // few at first
+			is.True(f.backoffTargets[0].countBetween(end, end.Add(4*time.Second)) > 400/10) // then as before
 		}},
 		{"the target's entry vanishes and comes back", []responseScript{func(since time.Duration, n int, body string) scriptedResponse {
 			if n == 1 {
 				return scriptedResponse{status: http.StatusServiceUnavailable, notExecuted: true, backoff: time.Minute}
 			}
-			return served(since, n, body)
-		}, served}, func(is *is.I, f *backoffFleet) {
-			for len(f.loadGenerators[0].backoffPeriods()) == 0 {
-				is.True(time.Since(f.began) < 5*time.Second)
+			return serve(since, n, body)
+		}, serve}, func(is *is.I, f *backoffFleet) {
+			for len(f.backoffTargets[0].backoffPeriods()) == 0 {
+				is.True(time.Since(f.startedAt) < 5*time.Second)
 				f.send(0, pathSafe, "x")
 			}
-			f.store.remove(memoryTargets, f.loadGenerators[0].name)
+			f.store.remove(memoryTargets, f.backoffTargets[0].name)
 			time.Sleep(30 * time.Second) // all that forgets targets which are gone has run
-			f.loadGenerators[0].writeEntry()
+			f.backoffTargets[0].writeEntry()
 			time.Sleep(time.Second)
-			answers := f.sendLoad(pathSafe, every, 5*time.Second)
-			is.Equal(count(answers, isOK), len(answers))
+			responses := f.sendLoad(pathSafe, every, 5*time.Second)
+			is.Equal(count(responses, isOK), len(responses))
 		}},
 	}
 	for _, c := range cases {
@@ -454,7 +454,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := newBackoffFleet(t, 1, c.scripts...)
 				defer f.end()
-				defer f.check()
+				defer f.checkBackoffs()
 				c.play(is.New(t), f)
 			})
 		})
@@ -474,12 +474,12 @@
 		is := is.New(t)
 		f := newBackoffFleet(t, 1, func(time.Duration, int, string) scriptedResponse {
 			return scriptedResponse{status: http.StatusServiceUnavailable, notExecuted: true}
-		}, served)
+		}, serve)
 		defer f.end()
 		f.sendLoad(pathSafe, 20*time.Millisecond, 3*time.Second)
-		tries := len(f.loadGenerators[0].receivedAll())
-		is.True(tries >= 5)
-		is.True(tries <= 20) // at most one in 150 ms
+		attempts := len(f.backoffTargets[0].receivedAll())
+		is.True(attempts >= 5)
+		is.True(attempts <= 20) // at most one in 150 ms
 	})
 }
 
@@ -491,13 +491,13 @@
 			if n == 1 {
 				return scriptedResponse{status: http.StatusServiceUnavailable, notExecuted: true, backoff: 5 * time.Second}
 			}
-			return served(since, n, body)
+			return serve(since, n, body)
 		})
 		defer f.end()
 		f.send(0, pathSafe, "x")
 		time.Sleep(time.Second)
 		is.Equal(f.send(1, pathSafe, "x").status, http.StatusOK)
-		is.True(f.send(0, pathSafe, "x").isLocal())
+		is.True(f.send(0, pathSafe, "x").isBackoffRefusal())
 	})
 }
 
@@ -516,7 +516,7 @@
 func TestReportRequestsBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newBackoffFleet(t, 1, served)
+		f := newBackoffFleet(t, 1, serve)
 		defer f.end()
 		g := f.gateways[0]
 		g.engines = refusingEngines{backoff: 2 * time.Second}
@@ -525,7 +525,7 @@
 			_, err := g.rollout.fetchReport(t.Context(), target)
 			is.True(err != nil)
 		}
-		is.True(f.send(0, pathSafe, "x").isLocal())
+		is.True(f.send(0, pathSafe, "x").isBackoffRefusal())
 		time.Sleep(2 * time.Second)
 		is.Equal(f.send(0, pathSafe, "x").status, http.StatusOK)
 	})
@@ -534,32 +534,32 @@
 // TestRequestedBackoffOfMostTargets guards against a refusal while a few targets of many, not the first considered, ask for no rest.
 func TestRequestedBackoffOfMostTargets(t *testing.T) {
 	const targets, others = 4 * maxCandidates, 2
-	for status, script := range map[int]responseScript{http.StatusOK: served, http.StatusInternalServerError: failEvery(1)} {
+	for status, script := range map[int]responseScript{http.StatusOK: serve, http.StatusInternalServerError: failEvery(1)} {
 		t.Run(http.StatusText(status), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				f := newBackoffFleet(t, 1, slices.Repeat([]responseScript{overloadedUntil(time.Hour, time.Hour)}, targets)...)
 				defer f.end()
-				left := others
-				for _, m := range f.loadGenerators {
-					if left > 0 && !f.considered(m.name) {
-						m.script, left = script, left-1
+				remaining := others
+				for _, m := range f.backoffTargets {
+					if remaining > 0 && !f.isCandidate(m.name) {
+						m.script, remaining = script, remaining-1
 					}
 				}
-				is.Equal(left, 0)
+				is.Equal(remaining, 0)
 				f.sendLoad(pathSafe, 20*time.Millisecond, 10*time.Second) // all that are asked first have asked for rest
-				answers := f.sendLoad(pathSafe, 50*time.Millisecond, 5*time.Second)
-				got := count(answers, func(a backoffResponse) bool { return a.status == status })
-				is.Equal(got, len(answers))
-				f.check()
+				responses := f.sendLoad(pathSafe, 50*time.Millisecond, 5*time.Second)
+				matching := count(responses, func(a backoffResponse) bool { return a.status == status })
+				is.Equal(matching, len(responses))
+				f.checkBackoffs()
 			})
 		})
 	}
 }
 
-// considered says whether a target is among those that the first instance considers for a
+// isCandidate says whether a target is among those that the first instance considers for a
 // request before it looks at all.
-func (f *backoffFleet) considered(name string) bool {
+func (f *backoffFleet) isCandidate(name string) bool {
 	return slices.ContainsFunc(f.gateways[0].view.Load().Candidates["s"], func(t *catalog.Target) bool { return t.Name == name })
 }
 
--- a/internal/gateway/blackholed_watchers_test.go
+++ b/internal/gateway/blackholed_watchers_test.go
@@ -20,7 +20,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newMemoryFleet(t, n, 4)
 			defer f.stop()
-			for _, i := range f.byRank(watcherRole)[:n/3] {
+			for _, i := range f.indexesByRank(watcherRole)[:n/3] {
 				f.storeClients[i].setSilent(true)
 			}
 			time.Sleep(80 * time.Millisecond)
--- a/internal/gateway/evacuations_test.go
+++ b/internal/gateway/evacuations_test.go
@@ -133,11 +133,11 @@
 		{"nothing else", 9, evacuateAim, nil, nil},
 		{"a large fleet", 60, evacuateAim, nil, nil},
 		{"the store falls silent once its watches are answered", 60, evacuateBound, nil, func(f *evacuatedFleet) {
-			time.Sleep(2 * memoryAnswer)
+			time.Sleep(2 * storeLatency)
 			f.silenceStore(true)
 		}},
 		{"the store is silent to the watchers and a third more", 60, evacuateBound, func(f *evacuatedFleet) {
-			for _, i := range f.byRank(watcherRole)[:20] {
+			for _, i := range f.indexesByRank(watcherRole)[:20] {
 				f.storeClients[i].setSilent(true)
 			}
 		}, nil},
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -30,23 +30,23 @@
 type memoryNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*memoryListener
-	cut       map[string]bool // hosts that nothing gets through to or from
+	isolated  map[string]bool // hosts that nothing gets through to or from
 }
 
-// setCut cuts a host off, or lets it back.
-func (n *memoryNetwork) setCut(host string, yes bool) {
+// setIsolated cuts a host off, or lets it back.
+func (n *memoryNetwork) setIsolated(host string, isolated bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.cut == nil {
-		n.cut = map[string]bool{}
+	if n.isolated == nil {
+		n.isolated = map[string]bool{}
 	}
-	n.cut[host] = yes
+	n.isolated[host] = isolated
 }
 
 func (n *memoryNetwork) isConnected(hosts [2]string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return !n.cut[hosts[0]] && !n.cut[hosts[1]]
+	return !n.isolated[hosts[0]] && !n.isolated[hosts[1]]
 }
 
 // dialFrom opens connections from a host.
@@ -142,16 +142,16 @@
 	written chan struct{} // something waits to be delivered
 
 	mu      sync.Mutex
-	waiting [][]byte
+	pending [][]byte
 }
 
 func (n *memoryNetwork) newConn(c net.Conn, hosts [2]string) *memoryConn {
 	m := &memoryConn{Conn: c, network: n, hosts: hosts, closed: make(chan struct{}), written: make(chan struct{}, 1)}
-	go m.pump()
+	go m.deliverWrites()
 	return m
 }
 
-func (m *memoryConn) pump() {
+func (m *memoryConn) deliverWrites() {
 	defer m.Conn.Close()
 	for {
 		select {
@@ -169,8 +169,8 @@
 // deliverAll delivers what waits, one write a hop; false: the other end is gone.
 func (m *memoryConn) deliverAll() bool {
 	for {
-		p, some := m.next()
-		if !some {
+		p, ok := m.next()
+		if !ok {
 			return true
 		}
 		if !m.deliver(p) {
@@ -180,13 +180,13 @@
 }
 
 // next takes the write that waits longest.
-func (m *memoryConn) next() (p []byte, some bool) {
+func (m *memoryConn) next() (p []byte, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if len(m.waiting) == 0 {
+	if len(m.pending) == 0 {
 		return nil, false
 	}
-	p, m.waiting = m.waiting[0], m.waiting[1:]
+	p, m.pending = m.pending[0], m.pending[1:]
 	return p, true
 }
 
@@ -207,7 +207,7 @@
 	default:
 	}
 	m.mu.Lock()
-	m.waiting = append(m.waiting, append([]byte(nil), p...))
+	m.pending = append(m.pending, append([]byte(nil), p...))
 	m.mu.Unlock()
 	select {
 	case m.written <- struct{}{}:
@@ -228,12 +228,12 @@
 
 // memoryStore is an object store.
 type memoryStore struct {
-	mu       sync.Mutex
-	revision platform.Version
-	objects  map[string]map[string]platform.NamedObject
-	history  []memoryChange
-	lost     platform.Version // history up to this revision is gone
-	wake     chan struct{}    // closed at the next change
+	mu          sync.Mutex
+	revision    platform.Version
+	objects     map[string]map[string]platform.NamedObject
+	history     []memoryChange
+	truncatedAt platform.Version // history up to this revision is gone
+	changed     chan struct{}    // closed at the next change
 }
 
 type memoryChange struct {
@@ -243,7 +243,7 @@
 }
 
 func newMemoryStore() *memoryStore {
-	return &memoryStore{objects: map[string]map[string]platform.NamedObject{}, wake: make(chan struct{})}
+	return &memoryStore{objects: map[string]map[string]platform.NamedObject{}, changed: make(chan struct{})}
 }
 
 // set writes an object, as operators and targets do.
@@ -271,8 +271,8 @@
 // notify notes a change and wakes those that wait for one.
 func (s *memoryStore) notify(c memoryChange) {
 	s.history = append(s.history, c)
-	close(s.wake)
-	s.wake = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 // remove deletes an object.
@@ -290,15 +290,15 @@
 func (s *memoryStore) truncateHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.history, s.lost = nil, s.revision
+	s.history, s.truncatedAt = nil, s.revision
 }
 
 // Times of a call to the store, and of one that is not answered, as the client of the
 // object store bounds them.
 const (
-	memoryAnswer = 4 * time.Millisecond
-	callSilence  = 2 * time.Second
-	watchSilence = 600 * time.Millisecond // beyond what the watch may wait
+	storeLatency       = 4 * time.Millisecond
+	storeCallTimeout   = 2 * time.Second
+	watchTimeoutMargin = 600 * time.Millisecond // beyond what the watch may wait
 )
 
 // storeClient is one instance's way to the store.
@@ -309,10 +309,10 @@
 	calls  int
 }
 
-func (d *storeClient) setSilent(yes bool) {
+func (d *storeClient) setSilent(silent bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.silent = yes
+	d.silent = silent
 }
 
 func (d *storeClient) countCall() int {
@@ -321,18 +321,18 @@
 	return d.calls
 }
 
-// awaitAnswer lets one call through, or fails it after the time that its client bears.
-func (d *storeClient) awaitAnswer(ctx context.Context, op, key string, bears time.Duration) error {
+// awaitResponse lets one call through, or fails it after the time that its client bears.
+func (d *storeClient) awaitResponse(ctx context.Context, op, key string, timeout time.Duration) error {
 	d.mu.Lock()
 	silent := d.silent
 	d.calls++
 	d.mu.Unlock()
-	took := memoryAnswer
+	latency := storeLatency
 	if silent {
-		took = bears
+		latency = timeout
 	}
 	select {
-	case <-time.After(took):
+	case <-time.After(latency):
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -344,7 +344,7 @@
 
 // List implements platform.Kinds.
 func (d *storeClient) List(ctx context.Context, kind string) (platform.Snapshot, error) {
-	if err := d.awaitAnswer(ctx, "list", kind, callSilence); err != nil {
+	if err := d.awaitResponse(ctx, "list", kind, storeCallTimeout); err != nil {
 		return platform.Snapshot{}, err
 	}
 	d.store.mu.Lock()
@@ -360,22 +360,22 @@
 // answer.
 func (d *storeClient) Watch(ctx context.Context, kind string, after platform.Version, wait time.Duration) (platform.Changes, error) {
 	began, end := time.Now(), time.After(wait)
-	if err := d.awaitAnswer(ctx, "watch", kind, wait+watchSilence); err != nil {
+	if err := d.awaitResponse(ctx, "watch", kind, wait+watchTimeoutMargin); err != nil {
 		return platform.Changes{}, err
 	}
-	for over := false; ; {
+	for expired := false; ; {
 		d.store.mu.Lock()
-		out, wake, forgotten := platform.Changes{Revision: d.store.revision}, d.store.wake, after < d.store.lost
+		out, changed, historyLost := platform.Changes{Revision: d.store.revision}, d.store.changed, after < d.store.truncatedAt
 		for _, c := range d.store.history {
 			if c.kind == kind && c.Version > after {
 				out.Changes = append(out.Changes, platform.Change{NamedObject: c.NamedObject, Deleted: c.deleted})
 			}
 		}
 		d.store.mu.Unlock()
-		if forgotten {
+		if historyLost {
 			return platform.Changes{}, &platform.HistoryLostError{Kind: kind, After: after}
 		}
-		if over || len(out.Changes) > 0 {
+		if expired || len(out.Changes) > 0 {
 			d.mu.Lock()
 			silent := d.silent
 			d.mu.Unlock()
@@ -383,15 +383,15 @@
 				return out, nil
 			}
 			select {
-			case <-time.After(wait + watchSilence - time.Since(began)):
+			case <-time.After(wait + watchTimeoutMargin - time.Since(began)):
 			case <-ctx.Done():
 			}
 			return platform.Changes{}, &platform.UnavailableError{Op: "watch", Key: kind, Cause: errors.ErrUnsupported}
 		}
 		select {
-		case <-wake:
+		case <-changed:
 		case <-end:
-			over = true
+			expired = true
 		case <-ctx.Done():
 			return platform.Changes{}, ctx.Err()
 		}
@@ -400,7 +400,7 @@
 
 // Get implements platform.Kinds.
 func (d *storeClient) Get(ctx context.Context, kind, name string) (platform.NamedObject, error) {
-	if err := d.awaitAnswer(ctx, "get", kind+"/"+name, callSilence); err != nil {
+	if err := d.awaitResponse(ctx, "get", kind+"/"+name, storeCallTimeout); err != nil {
 		return platform.NamedObject{}, err
 	}
 	d.store.mu.Lock()
@@ -414,7 +414,7 @@
 
 // Put implements platform.Kinds.
 func (d *storeClient) Put(ctx context.Context, kind, name string, value []byte, want platform.Version) (platform.Version, error) {
-	if err := d.awaitAnswer(ctx, "put", kind+"/"+name, callSilence); err != nil {
+	if err := d.awaitResponse(ctx, "put", kind+"/"+name, storeCallTimeout); err != nil {
 		return 0, err
 	}
 	d.store.mu.Lock()
@@ -552,8 +552,8 @@
 	return conn
 }
 
-// byRank are the indexes of the instances by their rank for a role.
-func (f *memoryFleet) byRank(role string) []int {
+// indexesByRank are the indexes of the instances by their rank for a role.
+func (f *memoryFleet) indexesByRank(role string) []int {
 	var names []string
 	for _, m := range f.gateways[0].view.Load().Peers {
 		if m.State == member.Alive {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -249,7 +249,7 @@
 	c := &controlState{log: g.log, now: g.now, named: map[string]NamedVersions{}, members: member.New(params, self, rand.IntN), storeReachable: true, rolloutWithin: set.RolloutWithin, configWithin: set.ConfigWithin,
 		followsEvacuations: set.EvacuateWithin > 0,
 		targets:            newTargetTable(g.log, set.Name), staleness: g.staleness, warmupAllowedAt: g.now().Add(warmupSettleTime)}
-	c.targets.OnRestart(func(n registry.Restart) { g.passBackoff(c, n) })
+	c.targets.OnRestart(func(n registry.Restart) { g.transferBackoff(c, n) })
 	g.spawn(func() { g.runControl(g.ctx, c) })
 	g.watchAll(g.ctx)
 	for _, f := range [...]func(context.Context){g.joinSeeds, g.pollPeersWithoutStore, g.pollStaleness, g.fetchConfigs, g.maintainBootstrap, g.forgetGone, g.maintainQuarantine, g.reportSuspects, g.reportLoads, g.runRollouts, g.cache.run, g.cache.pullDirectory, g.cache.collectGarbage} {
--- a/internal/gateway/leaving.go
+++ b/internal/gateway/leaving.go
@@ -25,14 +25,14 @@
 // else of its message along.
 func (l *LeavingTargets) UnmarshalCBOR(data []byte) error {
 	*l = nil
-	var words []cbor.RawMessage
-	if cbor.Unmarshal(data, &words) != nil {
+	var items []cbor.RawMessage
+	if cbor.Unmarshal(data, &items) != nil {
 		return nil
 	}
-	for _, word := range words[:min(len(words), maxLeavingTargets)] {
-		var life registry.Incarnation
-		if cbor.Unmarshal(word, &life) == nil && life.Name != "" && life.Start >= 0 {
-			*l = append(*l, life)
+	for _, item := range items[:min(len(items), maxLeavingTargets)] {
+		var incarnation registry.Incarnation
+		if cbor.Unmarshal(item, &incarnation) == nil && incarnation.Name != "" && incarnation.Start >= 0 {
+			*l = append(*l, incarnation)
 		}
 	}
 	return nil
@@ -51,12 +51,12 @@
 
 // noteLeaving takes a target's own word that it leaves. All its answers give it; the first one
 // changes the belief.
-func (g *Gateway) noteLeaving(t *catalog.Target, by registry.Source) {
+func (g *Gateway) noteLeaving(t *catalog.Target, source registry.Source) {
 	known := g.view.Load().Targets[t.ID]
-	if known != nil && known.LeavingNotice && !known.NoticeInherited && by.RequestSent.Sub(known.NoticeRequestSent) < leavingRefreshInterval {
+	if known != nil && known.LeavingNotice && !known.NoticeInherited && source.RequestSent.Sub(known.NoticeRequestSent) < leavingRefreshInterval {
 		return
 	}
-	g.sendEvent(targetLeaving{incarnation: registry.IncarnationOf(t), source: by})
+	g.sendEvent(targetLeaving{incarnation: registry.IncarnationOf(t), source: source})
 }
 
 // targetLeaving brings a target's own word that it leaves.
@@ -73,11 +73,11 @@
 	}
 }
 
-// passBackoff takes that a target has started again, with the rest that its new life has asked for
+// transferBackoff takes that a target has started again, with the rest that its new life has asked for
 // already.
-func (g *Gateway) passBackoff(c *controlState, n registry.Restart) {
+func (g *Gateway) transferBackoff(c *controlState, restart registry.Restart) {
 	now := c.now()
-	g.breaker.TransferBackoff(n.PreviousID, n.ID, registry.InheritedNoticeTTL, func(sent time.Time) bool { return registry.StartedBeforeRequest(n.Start, sent, now) })
+	g.breaker.TransferBackoff(restart.PreviousID, restart.ID, registry.InheritedNoticeTTL, func(sent time.Time) bool { return registry.StartedBeforeRequest(restart.Start, sent, now) })
 }
 
 // leavingReceived brings the same by a peer.
@@ -90,9 +90,9 @@
 
 // noteLeaving takes a peer's word of targets that leave. That of one which is not in the list is
 // kept, since peers may know the list earlier.
-func (c *controlState) receiveLeaving(lives LeavingTargets, from member.Member) {
-	for _, l := range lives {
-		if c.targets.ApplyLeavingNotice(l, registry.Source{Channel: string(fromPeer), Reporter: from.Name}, c.now()) {
+func (c *controlState) receiveLeaving(targets LeavingTargets, from member.Member) {
+	for _, incarnation := range targets {
+		if c.targets.ApplyLeavingNotice(incarnation, registry.Source{Channel: string(fromPeer), Reporter: from.Name}, c.now()) {
 			c.leavingReports.received++
 			c.leavingReports.nextIndex = nil
 		}
@@ -114,11 +114,11 @@
 	if c.leavingReports.nextIndex == nil {
 		c.leavingReports.nextIndex = map[string]int{}
 	}
-	from := c.leavingReports.nextIndex[peer]
-	if from >= len(all) {
-		from = 0
+	start := c.leavingReports.nextIndex[peer]
+	if start >= len(all) {
+		start = 0
 	}
-	end := min(from+maxLeavingTargets, len(all))
+	end := min(start+maxLeavingTargets, len(all))
 	c.leavingReports.nextIndex[peer] = end
-	return all[from:end]
+	return all[start:end]
 }
--- a/internal/gateway/leaving_hello_test.go
+++ b/internal/gateway/leaving_hello_test.go
@@ -12,8 +12,8 @@
 // itself does not hear: the probes of an instance and its answers to probes name it.
 func TestLeavingIsReportedBothWays(t *testing.T) {
 	is := is.New(t)
-	c, lives := controlWithLeaving(3)
-	targetLeaving{incarnation: lives[1]}.apply(c)
-	is.Equal(c.newHello(false).Leaving, LeavingTargets{lives[1]})
-	is.Equal(c.replyHello(&HelloRequest{From: member.Member{Name: "e-1"}}).Leaving, LeavingTargets{lives[1]})
+	c, incarnations := controlWithTargets(3)
+	targetLeaving{incarnation: incarnations[1]}.apply(c)
+	is.Equal(c.newHello(false).Leaving, LeavingTargets{incarnations[1]})
+	is.Equal(c.replyHello(&HelloRequest{From: member.Member{Name: "e-1"}}).Leaving, LeavingTargets{incarnations[1]})
 }
--- a/internal/gateway/leaving_incarnations_test.go
+++ b/internal/gateway/leaving_incarnations_test.go
@@ -42,8 +42,8 @@
 				if c.before {
 					s.startLeaving()
 				}
-				f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
-				is.True(s.arrived("") > 0)
+				f.sendLoad(f.allInstances(), pathSafe, 5*time.Millisecond, time.Second)
+				is.True(s.requestsExceptFrom("") > 0)
 				time.Sleep(c.wait)
 				s.stop()
 				time.Sleep(c.wait)
@@ -54,20 +54,20 @@
 				if c.new {
 					s.startLeaving()
 				}
-				f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, 2*time.Second)
+				f.sendLoad(f.allInstances(), pathSafe, 5*time.Millisecond, 2*time.Second)
 				s.mu.Lock()
 				is.Equal(len(s.firstLeavingResponse) > 0, c.new)
 				s.mu.Unlock()
 				f.silenceStore(false)
-				f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, 3*leavingBound)
-				if late := s.late(leavingBound, true); len(late) > 0 {
-					t.Errorf("requests were sent to it after it had said that it leaves: %v", late)
+				f.sendLoad(f.allInstances(), pathSafe, 5*time.Millisecond, 3*leavingBound)
+				if lateSenders := s.lateSenders(leavingBound, true); len(lateSenders) > 0 {
+					t.Errorf("requests were sent to it after it had said that it leaves: %v", lateSenders)
 				}
 				if !c.new {
 					s.resetCounts()
-					f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
+					f.sendLoad(f.allInstances(), pathSafe, 5*time.Millisecond, time.Second)
 					for _, g := range f.gateways {
-						is.True(s.from(g.settings().Name) > 0)
+						is.True(s.requestsFrom(g.settings().Name) > 0)
 					}
 				}
 			})
@@ -79,24 +79,24 @@
 // cut short when that comes, and against one that the life before asked for.
 func TestRequestedBackoffBeforeEntry(t *testing.T) {
 	const (
-		every = 20 * time.Millisecond
-		rest  = 20 * time.Second
+		every   = 20 * time.Millisecond
+		backoff = 20 * time.Second
 	)
-	asks := func(time.Duration, int, string) scriptedResponse {
-		return scriptedResponse{status: http.StatusServiceUnavailable, notExecuted: true, backoff: rest}
+	requestBackoff := func(time.Duration, int, string) scriptedResponse {
+		return scriptedResponse{status: http.StatusServiceUnavailable, notExecuted: true, backoff: backoff}
 	}
 	for name, scripts := range map[string][2]responseScript{ // of the life before, and of the new one
-		"the new life asks for it":     {served, asks},
-		"the life before asked for it": {asks, served},
+		"the new life asks for it":     {serve, requestBackoff},
+		"the life before asked for it": {requestBackoff, serve},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				f := newBackoffFleet(t, 1, scripts[0], served)
+				f := newBackoffFleet(t, 1, scripts[0], serve)
 				defer f.end()
 				f.silenceStore(true)
-				m := f.loadGenerators[0]
+				m := f.backoffTargets[0]
 				f.sendLoad(pathSafe, every, time.Second)
 				is.True(len(m.receivedAll()) > 0)
 				time.Sleep(100 * time.Millisecond)
@@ -106,8 +106,8 @@
 				m.start()
 				f.sendLoad(pathSafe, every, 2*time.Second)
 				f.silenceStore(false)
-				f.sendLoad(pathSafe, every, rest/2)
-				f.check()
+				f.sendLoad(pathSafe, every, backoff/2)
+				f.checkBackoffs()
 				if len(m.backoffPeriods()) == 0 {
 					is.True(len(m.receivedAll()) > 50) // it is used as before
 				}
@@ -124,10 +124,10 @@
 		is := is.New(t)
 		clock := func() time.Time { return time.UnixMilli(30_000) }
 		g := &Gateway{now: clock, breaker: breaker.New(clock), log: &log.Logger{Handler: discard.Default}}
-		meant := catalog.Target{Name: "i-1", Start: before}.WithID()
+		addressed := catalog.Target{Name: "i-1", Start: before}.WithID()
 		listed := catalog.Target{Name: "i-1", Start: next}.WithID()
 		g.view.Store(&View{Targets: map[string]*catalog.Target{listed.ID: &listed}})
-		g.applyNotice(&meant, Notice{Backoff: time.Second}, registry.Source{Channel: string(fromAnswer), RequestSent: time.UnixMilli(sent)})
+		g.applyNotice(&addressed, Notice{Backoff: time.Second}, registry.Source{Channel: string(fromAnswer), RequestSent: time.UnixMilli(sent)})
 		is.Equal(g.breaker.Backoffs(), map[string]time.Time{want: time.UnixMilli(31_000)})
 	}
 }
@@ -168,9 +168,9 @@
 	is := is.New(t)
 	clock := func() time.Time { return time.UnixMilli(30_000) }
 	g := &Gateway{now: clock, breaker: breaker.New(clock), log: &log.Logger{Handler: discard.Default}}
-	meant := catalog.Target{Name: "i-1", Start: before}.WithID()
+	addressed := catalog.Target{Name: "i-1", Start: before}.WithID()
 	listed := catalog.Target{Name: "i-1", Start: next}.WithID()
 	g.view.Store(&View{Targets: map[string]*catalog.Target{listed.ID: &listed}})
-	g.applyNotice(&meant, Notice{Backoff: time.Hour}, registry.Source{Channel: string(fromAnswer), RequestSent: time.UnixMilli(25_000)})
+	g.applyNotice(&addressed, Notice{Backoff: time.Hour}, registry.Source{Channel: string(fromAnswer), RequestSent: time.UnixMilli(25_000)})
 	is.Equal(g.breaker.Backoffs(), map[string]time.Time{listed.ID: clock().Add(registry.InheritedNoticeTTL)})
 }
--- a/internal/gateway/leaving_pages_test.go
+++ b/internal/gateway/leaving_pages_test.go
@@ -11,38 +11,38 @@
 
 // TestEachPeerReceivesAllLeavingTargets guards against peers that are told in turn and each hear of a part of the lives that leave.
 func TestEachPeerReceivesAllLeavingTargets(t *testing.T) {
-	const leavers, messages = 5 * maxLeavingTargets / 2, 3
-	tell := map[string]func(c *controlState, peer string) LeavingTargets{
+	const leaving, messages = 5 * maxLeavingTargets / 2, 3
+	report := map[string]func(c *controlState, peer string) LeavingTargets{
 		"answers": func(c *controlState, peer string) LeavingTargets {
 			return c.replyHello(&HelloRequest{From: member.Member{Name: peer}}).Leaving
 		},
 		"probes": func(c *controlState, peer string) LeavingTargets { return c.newHelloTo(peer, false).Leaving },
 	}
-	for name, tell := range tell {
+	for name, report := range report {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			peers := []string{"e-1", "e-2", "e-3"}
-			c, lives := controlWithLeaving(600)
-			for _, l := range lives[:leavers] {
+			c, incarnations := controlWithTargets(600)
+			for _, l := range incarnations[:leaving] {
 				targetLeaving{incarnation: l}.apply(c)
 			}
-			told := map[string]map[registry.Incarnation]bool{}
+			reported := map[string]map[registry.Incarnation]bool{}
 			for range messages {
 				for _, peer := range peers {
-					if told[peer] == nil {
-						told[peer] = map[registry.Incarnation]bool{}
+					if reported[peer] == nil {
+						reported[peer] = map[registry.Incarnation]bool{}
 					}
-					for _, l := range tell(c, peer) {
-						told[peer][l] = true
+					for _, l := range report(c, peer) {
+						reported[peer][l] = true
 					}
 				}
 			}
 			for _, peer := range peers {
-				is.Equal(len(told[peer]), leavers)
+				is.Equal(len(reported[peer]), leaving)
 			}
-			targetLeaving{incarnation: lives[500]}.apply(c)
+			targetLeaving{incarnation: incarnations[500]}.apply(c)
 			for _, peer := range peers { // what is new goes first to each
-				is.Equal(tell(c, peer)[0], lives[500])
+				is.Equal(report(c, peer)[0], incarnations[500])
 			}
 		})
 	}
--- a/internal/gateway/leaving_reports_test.go
+++ b/internal/gateway/leaving_reports_test.go
@@ -16,43 +16,43 @@
 	"github.com/shedhoist/shedhoist/internal/registry"
 )
 
-// controlWithLeaving is an instance that knows n targets.
-func controlWithLeaving(n int) (*controlState, []registry.Incarnation) {
+// controlWithTargets is an instance that knows n targets.
+func controlWithTargets(n int) (*controlState, []registry.Incarnation) {
 	c := controlOf("e-0", "z0")
 	targets := targetsOf(n, 3)
 	c.targets.ApplyList(registryRevision, targets, nil, at0)
-	lives := make([]registry.Incarnation, n)
+	incarnations := make([]registry.Incarnation, n)
 	for i := range targets {
-		lives[i] = registry.IncarnationOf(&targets[i])
+		incarnations[i] = registry.IncarnationOf(&targets[i])
 	}
-	return c, lives
+	return c, incarnations
 }
 
 // registryRevision is later than the entries of targetsOf.
 const registryRevision = 10_000
 
-func reportsUntilRepeat(name string) member.Member { return member.Member{Name: name} }
+func memberNamed(name string) member.Member { return member.Member{Name: name} }
 
 // TestLeavingIsReportedInPages guards against messages that grow with the targets that leave, and
 // against words that are never told.
 func TestLeavingIsReportedInPages(t *testing.T) {
 	is := is.New(t)
-	c, lives := controlWithLeaving(600)
+	c, incarnations := controlWithTargets(600)
 	is.Equal(len(c.reportLeaving()), 0)
-	for _, l := range lives[:40] {
+	for _, l := range incarnations[:40] {
 		targetLeaving{incarnation: l}.apply(c)
 	}
-	told := map[registry.Incarnation]bool{}
+	reported := map[registry.Incarnation]bool{}
 	for range 3 {
-		words := c.reportLeaving()
-		is.True(len(words) <= maxLeavingTargets)
-		for _, l := range words {
-			told[l] = true
+		page := c.reportLeaving()
+		is.True(len(page) <= maxLeavingTargets)
+		for _, l := range page {
+			reported[l] = true
 		}
 	}
-	is.Equal(len(told), 40)
-	targetLeaving{incarnation: lives[500]}.apply(c)
-	is.Equal(c.reportLeaving()[0], lives[500]) // what is new goes first
+	is.Equal(len(reported), 40)
+	targetLeaving{incarnation: incarnations[500]}.apply(c)
+	is.Equal(c.reportLeaving()[0], incarnations[500]) // what is new goes first
 }
 
 // TestLeavingIsRelayedOnce guards against words that go to and fro: what a peer tells is news
@@ -60,22 +60,22 @@
 func TestLeavingIsRelayedOnce(t *testing.T) {
 	is := is.New(t)
 	lines := memory.New()
-	a, lives := controlWithLeaving(3)
-	b, _ := controlWithLeaving(3)
+	a, incarnations := controlWithTargets(3)
+	b, _ := controlWithTargets(3)
 	b.targets = registry.New(registry.Options{Log: &log.Logger{Handler: lines, Level: log.InfoLevel}, Rank: func(string) uint64 { return 1 }})
 	b.targets.ApplyList(registryRevision, targetsOf(3, 3), nil, at0)
-	targetLeaving{incarnation: lives[1], source: registry.Source{Channel: string(fromAnswer), Reporter: "r-1"}}.apply(a)
+	targetLeaving{incarnation: incarnations[1], source: registry.Source{Channel: string(fromAnswer), Reporter: "r-1"}}.apply(a)
 	is.Equal(a.leavingReports, leavingReports{received: 1, observed: 1})
-	written := len(lines.Entries)
+	linesBefore := len(lines.Entries)
 	for range 5 {
-		b.receiveLeaving(a.reportLeaving(), reportsUntilRepeat("e-a"))
-		a.receiveLeaving(b.reportLeaving(), reportsUntilRepeat("e-b"))
+		b.receiveLeaving(a.reportLeaving(), memberNamed("e-a"))
+		a.receiveLeaving(b.reportLeaving(), memberNamed("e-b"))
 	}
 	is.Equal(a.leavingReports.received, uint64(1))
 	is.Equal(b.leavingReports.received, uint64(1))
 	is.Equal(b.leavingReports.observed, uint64(0))
-	is.Equal(len(lines.Entries), written+1)
-	line := lines.Entries[written]
+	is.Equal(len(lines.Entries), linesBefore+1)
+	line := lines.Entries[linesBefore]
 	is.Equal(line.Message, "target leaves")
 	is.Equal(line.Fields["from"], "peer")
 	is.Equal(line.Fields["by"], "e-a")
@@ -85,18 +85,18 @@
 // tells it as one that knows first.
 func TestLeavingIsGossiped(t *testing.T) {
 	is := is.New(t)
-	c, lives := controlWithLeaving(3)
-	v, old := &View{}, c.updateMark() // it is no watcher
-	c.receiveLeaving(LeavingTargets{lives[0]}, reportsUntilRepeat("e-a"))
-	c.noteUpdates(v, old)
+	c, incarnations := controlWithTargets(3)
+	v, mark := &View{}, c.updateMark() // it is no watcher
+	c.receiveLeaving(LeavingTargets{incarnations[0]}, memberNamed("e-a"))
+	c.noteUpdates(v, mark)
 	is.True(c.pendingUpdates.changed && !c.pendingUpdates.firstSource)
-	c.pendingUpdates, old = pendingUpdates{}, c.updateMark()
-	targetLeaving{incarnation: lives[1]}.apply(c)
-	c.noteUpdates(v, old)
+	c.pendingUpdates, mark = pendingUpdates{}, c.updateMark()
+	targetLeaving{incarnation: incarnations[1]}.apply(c)
+	c.noteUpdates(v, mark)
 	is.True(c.pendingUpdates.changed && c.pendingUpdates.firstSource)
-	c.pendingUpdates, old = pendingUpdates{}, c.updateMark()
-	targetLeaving{incarnation: lives[1]}.apply(c)
-	c.noteUpdates(v, old)
+	c.pendingUpdates, mark = pendingUpdates{}, c.updateMark()
+	targetLeaving{incarnation: incarnations[1]}.apply(c)
+	c.noteUpdates(v, mark)
 	is.True(!c.pendingUpdates.changed && !c.pendingUpdates.firstSource)
 }
 
@@ -104,10 +104,10 @@
 // and against its zone being looked at there.
 func TestLeavingTargetGetsNoOrders(t *testing.T) {
 	is := is.New(t)
-	c, lives := controlWithLeaving(3)
+	c, incarnations := controlWithTargets(3)
 	versionsNamed{revision: 1, changed: 1, versions: []catalog.ModelVersion{{Model: "m", Version: 2}}, from: fromStore}.apply(c)
 	is.Equal(len(c.buildView().Outdated), 3)
-	targetLeaving{incarnation: lives[0]}.apply(c)
+	targetLeaving{incarnation: incarnations[0]}.apply(c)
 	v := c.buildView()
 	is.Equal(len(v.Outdated), 2)
 	is.Equal(len(v.Serving["s"]), 2)
@@ -119,13 +119,13 @@
 // them say so.
 func TestLeavingNoticesAreCheap(t *testing.T) {
 	is := is.New(t)
-	c, lives := controlWithLeaving(1)
+	c, incarnations := controlWithTargets(1)
 	g := &Gateway{events: make(chan event, 4)}
 	target := &c.targets.Entries()[0].Target
 	g.view.Store(c.buildView())
 	g.applyNotice(target, Notice{Leaving: true}, registry.Source{})
 	is.Equal(len(g.events), 1)
-	targetLeaving{incarnation: lives[0]}.apply(c)
+	targetLeaving{incarnation: incarnations[0]}.apply(c)
 	g.view.Store(c.buildView())
 	is.Equal(testing.AllocsPerRun(100, func() {
 		g.applyNotice(target, Notice{Leaving: true}, registry.Source{Channel: string(fromAnswer), Reporter: "r-1"})
@@ -137,7 +137,7 @@
 // says the same: the entry may take it back.
 func TestOwnNoticeBesideEntry(t *testing.T) {
 	is := is.New(t)
-	c, _ := controlWithLeaving(1)
+	c, _ := controlWithTargets(1)
 	draining := targetsOf(1, 3)
 	draining[0].Leaving, draining[0].Revision = true, registryRevision+1
 	c.targets.ApplyChanges(registryRevision+1, draining, nil, at0)
@@ -157,16 +157,16 @@
 // along.
 func TestUnreadableLeavingTargets(t *testing.T) {
 	is := is.New(t)
-	good := registry.Incarnation{Name: "i-1", Start: 7}
-	for name, words := range map[string]any{
+	valid := registry.Incarnation{Name: "i-1", Start: 7}
+	for name, items := range map[string]any{
 		"a text":          "words",
 		"a map":           map[int]int{1: 2},
 		"nothing":         nil,
-		"one of all":      []any{"x", map[int]any{1: 7}, map[int]any{1: "i", 2: "soon"}, map[int]any{1: "i", 2: -1}, map[int]any{}, []int{1}, nil, good},
+		"one of all":      []any{"x", map[int]any{1: 7}, map[int]any{1: "i", 2: "soon"}, map[int]any{1: "i", 2: -1}, map[int]any{}, []int{1}, nil, valid},
 		"of more fields":  []any{map[int]any{1: "i-1", 2: 7, 3: "later"}},
-		"more than bound": slices.Repeat([]any{good}, 10*maxLeavingTargets),
+		"more than bound": slices.Repeat([]any{valid}, 10*maxLeavingTargets),
 	} {
-		data, err := cbor.Marshal(map[int]any{1: member.Member{Name: "e-1"}, 8: 5, 9: words})
+		data, err := cbor.Marshal(map[int]any{1: member.Member{Name: "e-1"}, 8: 5, 9: items})
 		is.NoErr(err)
 		var h HelloRequest
 		is.NoErr(cbor.Unmarshal(data, &h))
@@ -174,7 +174,7 @@
 		is.Equal(h.LiveMembers, 5)
 		is.True(len(h.Leaving) <= maxLeavingTargets)
 		for _, l := range h.Leaving {
-			is.Equal(l, good)
+			is.Equal(l, valid)
 		}
 		is.Equal(len(h.Leaving) > 0, name[0] == 'o' || name[0] == 'm')
 	}
@@ -186,31 +186,31 @@
 // TestLeavingTargetsAreBounded guards against control messages that grow beyond what an instance may spend.
 func TestLeavingTargetsAreBounded(t *testing.T) {
 	is := is.New(t)
-	var words LeavingTargets
+	var targets LeavingTargets
 	for i := range maxLeavingTargets {
-		words = append(words, registry.Incarnation{Name: fmt.Sprintf("i-%010x", i), Start: time.Now().UnixMilli()})
+		targets = append(targets, registry.Incarnation{Name: fmt.Sprintf("i-%010x", i), Start: time.Now().UnixMilli()})
 	}
-	with, err := cbor.Marshal(HelloRequest{Leaving: words})
+	with, err := cbor.Marshal(HelloRequest{Leaving: targets})
 	is.NoErr(err)
 	without, err := cbor.Marshal(HelloRequest{})
 	is.NoErr(err)
 	is.True(len(with)-len(without) <= maxLeavingBytes)
 	var h HelloRequest
 	is.NoErr(cbor.Unmarshal(with, &h))
-	is.Equal(h.Leaving, words)
+	is.Equal(h.Leaving, targets)
 }
 
 // FuzzLeavingTargets: whatever stands there, the rest of the message is read, and the words are few.
 func FuzzLeavingTargets(f *testing.F) {
-	for _, words := range []any{"x", []any{registry.Incarnation{Name: "i-1", Start: 7}}, []any{1, nil}} {
-		data, err := cbor.Marshal(words)
+	for _, items := range []any{"x", []any{registry.Incarnation{Name: "i-1", Start: 7}}, []any{1, nil}} {
+		data, err := cbor.Marshal(items)
 		if err != nil {
 			f.Fatal(err)
 		}
 		f.Add(data)
 	}
-	f.Fuzz(func(t *testing.T, words []byte) {
-		data, err := cbor.Marshal(map[int]any{1: member.Member{Name: "e-1"}, 9: cbor.RawMessage(words)})
+	f.Fuzz(func(t *testing.T, items []byte) {
+		data, err := cbor.Marshal(map[int]any{1: member.Member{Name: "e-1"}, 9: cbor.RawMessage(items)})
 		if err != nil || cbor.Wellformed(data) != nil {
 			return // the message is none
 		}
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -121,21 +121,21 @@
 	clear(s.requestCounts)
 }
 
-// arrived is how many requests came by instances, but one of them.
-func (s *leavingTarget) arrived(but string) int {
+// requestsExceptFrom is how many requests came by instances, but one of them.
+func (s *leavingTarget) requestsExceptFrom(except string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
-	for instance, reached := range s.requestCounts {
-		if instance != but {
-			n += reached
+	for instance, received := range s.requestCounts {
+		if instance != except {
+			n += received
 		}
 	}
 	return n
 }
 
-// from is how many came by one instance.
-func (s *leavingTarget) from(instance string) int {
+// requestsFrom is how many came by one instance.
+func (s *leavingTarget) requestsFrom(instance string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.requestCounts[instance]
@@ -147,8 +147,8 @@
 	if err != nil {
 		return // its caller is gone
 	}
-	instance, when, _ := strings.Cut(string(body), " ")
-	ns, err := strconv.ParseInt(when, 10, 64)
+	instance, sentAt, _ := strings.Cut(string(body), " ")
+	ns, err := strconv.ParseInt(sentAt, 10, 64)
 	if err != nil {
 		s.f.t.Error(err)
 	}
@@ -161,24 +161,24 @@
 	time.Sleep(runTime)
 	w.Header().Set(trafficID, r.Header.Get(trafficID))
 	s.mu.Lock()
-	leaves, answers := s.leaving, s.handler
-	if _, told := s.firstLeavingResponse[instance]; leaves && !told {
+	leaving, handler := s.leaving, s.handler
+	if _, announced := s.firstLeavingResponse[instance]; leaving && !announced {
 		s.firstLeavingResponse[instance] = time.Now()
 	}
 	s.mu.Unlock()
-	if leaves {
+	if leaving {
 		w.Header().Set(leavingHeader, "1")
 	}
-	if answers != nil {
-		answers(w, r, leaves)
+	if handler != nil {
+		handler(w, r, leaving)
 		return
 	}
 	_, _ = io.WriteString(w, s.name) // a caller that is gone needs no answer
 }
 
-// late lists the instances by which the target was sent requests later than bound after it had
+// lateSenders lists the instances by which the target was sent requests later than bound after it had
 // first told them that it leaves; together: after it had first told any.
-func (s *leavingTarget) late(bound time.Duration, together bool) []string {
+func (s *leavingTarget) lateSenders(bound time.Duration, byAny bool) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var first time.Time
@@ -189,12 +189,12 @@
 	}
 	var out []string
 	for instance, sent := range s.lastRequestSent {
-		told := s.firstLeavingResponse[instance]
-		if together {
-			told = first
+		announced := s.firstLeavingResponse[instance]
+		if byAny {
+			announced = first
 		}
-		if !told.IsZero() && sent.Sub(told) > bound {
-			out = append(out, fmt.Sprintf("%s %v", instance, sent.Sub(told)))
+		if !announced.IsZero() && sent.Sub(announced) > bound {
+			out = append(out, fmt.Sprintf("%s %v", instance, sent.Sub(announced)))
 		}
 	}
 	return out
@@ -203,9 +203,9 @@
 // leavingFleet is a fleet before targets that say in their answers that they leave.
 type leavingFleet struct {
 	*trafficFleet
-	leavingTargets []*leavingTarget
-	noStartTime    bool // the targets' entries don't tell when their lives started
-	loadGenerators sync.WaitGroup
+	leavingTargets  []*leavingTarget
+	noStartTime     bool // the targets' entries don't tell when their lives started
+	pendingRequests sync.WaitGroup
 
 	mu     sync.Mutex
 	failed int
@@ -217,8 +217,8 @@
 }
 
 // newFleetWithoutStartTimes is newLeavingFleet with targets whose entries don't tell their starts.
-func newFleetWithoutStartTimes(t *testing.T, n, targets int, unborn bool) *leavingFleet {
-	f := &leavingFleet{trafficFleet: newFleetWith(t, n, 2, 0, fleetOptions{codec: leavingCodec{}}), noStartTime: unborn}
+func newFleetWithoutStartTimes(t *testing.T, n, targets int, noStartTime bool) *leavingFleet {
+	f := &leavingFleet{trafficFleet: newFleetWith(t, n, 2, 0, fleetOptions{codec: leavingCodec{}}), noStartTime: noStartTime}
 	for i := range targets {
 		s := &leavingTarget{f: f, name: fmt.Sprintf("t-%02d", i), zone: fmt.Sprintf("z%d", i%2)}
 		f.leavingTargets = append(f.leavingTargets, s)
@@ -229,7 +229,7 @@
 }
 
 func (f *leavingFleet) end() {
-	f.loadGenerators.Wait()
+	f.pendingRequests.Wait()
 	for _, s := range f.leavingTargets {
 		s.stop()
 	}
@@ -243,11 +243,11 @@
 }
 
 // sendLoad sends requests to instances in turn for a while, and returns when all are sent.
-func (f *leavingFleet) sendLoad(instances []int, path string, every, long time.Duration) {
-	for i := 0; time.Duration(i)*every < long; i++ {
-		f.loadGenerators.Add(1)
+func (f *leavingFleet) sendLoad(instances []int, path string, every, duration time.Duration) {
+	for i := 0; time.Duration(i)*every < duration; i++ {
+		f.pendingRequests.Add(1)
 		go func() {
-			defer f.loadGenerators.Done()
+			defer f.pendingRequests.Done()
 			if f.sendOne(instances[i%len(instances)], path).status != http.StatusOK {
 				f.mu.Lock()
 				defer f.mu.Unlock()
@@ -260,14 +260,14 @@
 
 // failures is how many of these were not served.
 func (f *leavingFleet) failures() int {
-	f.loadGenerators.Wait()
+	f.pendingRequests.Wait()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.failed
 }
 
-// all are the instances.
-func (f *leavingFleet) all() []int {
+// allInstances are the instances.
+func (f *leavingFleet) allInstances() []int {
 	out := make([]int, len(f.gateways))
 	for i := range out {
 		out[i] = i
@@ -275,16 +275,16 @@
 	return out
 }
 
-// refuses answers that the request did not run, once the target leaves.
-func refuses(w http.ResponseWriter, _ *http.Request, leaves bool) {
+// refuseIfLeaving answers that the request did not run, once the target leaves.
+func refuseIfLeaving(w http.ResponseWriter, _ *http.Request, leaves bool) {
 	if leaves {
 		w.Header().Set(notExecutedHeader, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// failsAtTimes answers every eighth request with a failure, once the target leaves.
-func failsAtTimes() func(http.ResponseWriter, *http.Request, bool) {
+// failSomeIfLeaving answers every eighth request with a failure, once the target leaves.
+func failSomeIfLeaving() func(http.ResponseWriter, *http.Request, bool) {
 	var mu sync.Mutex
 	n := 0
 	return func(w http.ResponseWriter, _ *http.Request, leaves bool) {
@@ -302,16 +302,16 @@
 	streamGap    = 200 * time.Millisecond // the whole lasts longer than leavingBound
 )
 
-// streams answers with a stream.
-func streams(w http.ResponseWriter, _ *http.Request, _ bool) { streamSome(w, streamEvents) }
+// streamAll answers with a stream.
+func streamAll(w http.ResponseWriter, _ *http.Request, _ bool) { writeEvents(w, streamEvents) }
 
-// streamsHalf breaks a stream off in the middle.
-func streamsHalf(w http.ResponseWriter, _ *http.Request, _ bool) {
-	streamSome(w, streamEvents/2)
+// breakStream breaks a stream off in the middle.
+func breakStream(w http.ResponseWriter, _ *http.Request, _ bool) {
+	writeEvents(w, streamEvents/2)
 	panic(http.ErrAbortHandler)
 }
 
-func streamSome(w http.ResponseWriter, n int) {
+func writeEvents(w http.ResponseWriter, n int) {
 	for i := range n {
 		_, _ = fmt.Fprintf(w, "id: %d\ndata: x\n\n", i+1) // a caller that is gone needs no answer
 		_ = http.NewResponseController(w).Flush()
@@ -322,7 +322,7 @@
 // TestLeavingByOwnNotice guards against requests to a target that has said that it leaves, whatever its entry says.
 func TestLeavingByOwnNotice(t *testing.T) {
 	const every = 5 * time.Millisecond
-	silent := func(f *leavingFleet) { f.silenceStore(true) }
+	silenceStore := func(f *leavingFleet) { f.silenceStore(true) }
 	cases := []struct {
 		name     string
 		n        int
@@ -335,16 +335,16 @@
 		failures bool                                    // some may fail: targets break them, or the retry budget is used up
 	}{
 		{name: "the store is well, and the entry says ready", n: 3},
-		{name: "the store is silent", n: 3, before: silent},
-		{name: "the store is silent to a large fleet", n: 40, before: silent},
-		{name: "one instance alone", n: 1, before: silent},
-		{name: "requests that run once", n: 3, path: pathOnce, before: silent},
-		{name: "it refuses", n: 3, answers: refuses, before: silent, failures: true},
-		{name: "it fails at times", n: 3, path: pathOnce, answers: failsAtTimes(), before: silent, failures: true},
-		{name: "streams that last longer than the bound", n: 3, path: pathStream, every: 40 * time.Millisecond, answers: streams, before: silent},
-		{name: "streams that break and go on elsewhere", n: 3, path: pathStream, every: 40 * time.Millisecond, answers: streams, failures: true, before: func(f *leavingFleet) {
+		{name: "the store is silent", n: 3, before: silenceStore},
+		{name: "the store is silent to a large fleet", n: 40, before: silenceStore},
+		{name: "one instance alone", n: 1, before: silenceStore},
+		{name: "requests that run once", n: 3, path: pathOnce, before: silenceStore},
+		{name: "it refuses", n: 3, answers: refuseIfLeaving, before: silenceStore, failures: true},
+		{name: "it fails at times", n: 3, path: pathOnce, answers: failSomeIfLeaving(), before: silenceStore, failures: true},
+		{name: "streams that last longer than the bound", n: 3, path: pathStream, every: 40 * time.Millisecond, answers: streamAll, before: silenceStore},
+		{name: "streams that break and go on elsewhere", n: 3, path: pathStream, every: 40 * time.Millisecond, answers: streamAll, failures: true, before: func(f *leavingFleet) {
 			f.silenceStore(true)
-			f.leavingTargets[1].setHandler(streamsHalf)
+			f.leavingTargets[1].setHandler(breakStream)
 		}},
 		{name: "the entry is written again, as ready", n: 3, after: func(_ *leavingFleet, s *leavingTarget) { s.writeEntry(false) }},
 		{name: "the entry says it, and is written again as ready", n: 3, before: func(f *leavingFleet) { f.leavingTargets[0].writeEntry(true) },
@@ -354,7 +354,7 @@
 			time.Sleep(500 * time.Millisecond)
 			s.writeEntry(false)
 		}},
-		{name: "starts are not told", n: 3, unborn: true, before: silent},
+		{name: "starts are not told", n: 3, unborn: true, before: silenceStore},
 		{name: "starts are not told, and the entry vanishes and returns", n: 3, unborn: true, after: func(f *leavingFleet, s *leavingTarget) {
 			f.store.remove(memoryTargets, s.name)
 			time.Sleep(2 * time.Second)
@@ -369,7 +369,7 @@
 			f.store.truncateHistory()
 			s.writeEntry(false)
 		}},
-		{name: "the store returns", n: 3, before: silent, after: func(f *leavingFleet, s *leavingTarget) {
+		{name: "the store returns", n: 3, before: silenceStore, after: func(f *leavingFleet, s *leavingTarget) {
 			f.silenceStore(false)
 			time.Sleep(500 * time.Millisecond)
 			s.writeEntry(false)
@@ -381,32 +381,32 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleetWithoutStartTimes(t, c.n, 3, c.unborn)
 				defer f.end()
-				path, pause := c.path, c.every
+				path, interval := c.path, c.every
 				if path == "" {
 					path = pathSafe
 				}
-				if pause == 0 {
-					pause = every
+				if interval == 0 {
+					interval = every
 				}
 				for _, s := range f.leavingTargets {
 					s.setHandler(c.answers)
 				}
 				s := f.leavingTargets[0]
-				f.sendLoad(f.all(), path, pause, time.Second)
-				if s.arrived("") == 0 {
+				f.sendLoad(f.allInstances(), path, interval, time.Second)
+				if s.requestsExceptFrom("") == 0 {
 					t.Error("the target was not used")
 				}
 				s.startLeaving()
 				if c.before != nil {
 					c.before(f)
 				}
-				f.sendLoad(f.all(), path, pause, time.Second)
+				f.sendLoad(f.allInstances(), path, interval, time.Second)
 				if c.after != nil {
 					c.after(f, s)
 				}
-				f.sendLoad(f.all(), path, pause, 3*leavingBound)
-				if late := s.late(leavingBound, true); len(late) > 0 {
-					t.Errorf("requests were sent to it after it had said that it leaves: %v", late)
+				f.sendLoad(f.allInstances(), path, interval, 3*leavingBound)
+				if lateSenders := s.lateSenders(leavingBound, true); len(lateSenders) > 0 {
+					t.Errorf("requests were sent to it after it had said that it leaves: %v", lateSenders)
 				}
 				if n := f.failures(); n > 0 && !c.failures {
 					t.Errorf("%d requests were not served", n)
@@ -418,7 +418,7 @@
 
 // TestLeavingByPeerReport guards against requests to a target that has said that it leaves to another instance only.
 func TestLeavingByPeerReport(t *testing.T) {
-	onlyPeers := func(f *leavingFleet) { f.storeClients[f.addInstance()].setSilent(true) }
+	startWithoutStore := func(f *leavingFleet) { f.storeClients[f.addInstance()].setSilent(true) }
 	cases := []struct {
 		name   string
 		n      int
@@ -432,8 +432,8 @@
 			f.silenceStore(false)
 			f.addInstance()
 		}},
-		{"an instance starts, and only peers can tell it", 3, false, onlyPeers},
-		{"an instance starts, only peers can tell it, and starts are not told", 3, true, onlyPeers},
+		{"an instance starts, and only peers can tell it", 3, false, startWithoutStore},
+		{"an instance starts, only peers can tell it, and starts are not told", 3, true, startWithoutStore},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -445,13 +445,13 @@
 				f.silenceStore(true)
 				f.leavingTargets[0].startLeaving()
 				f.sendLoad([]int{0}, pathSafe, 10*time.Millisecond, time.Second)
-				is.True(f.leavingTargets[0].arrived("") > 0)
+				is.True(f.leavingTargets[0].requestsExceptFrom("") > 0)
 				if c.more != nil {
 					c.more(f)
 					time.Sleep(2 * time.Second) // it knows the targets
 				}
-				f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, leavingBound)
-				is.Equal(f.leavingTargets[0].arrived("e-000"), 0)
+				f.sendLoad(f.allInstances(), pathSafe, 5*time.Millisecond, leavingBound)
+				is.Equal(f.leavingTargets[0].requestsExceptFrom("e-000"), 0)
 				is.Equal(f.failures(), 0)
 			})
 		})
@@ -468,9 +468,9 @@
 		f.restartAll()
 		time.Sleep(time.Second)
 		f.leavingTargets[0].resetCounts()
-		f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, 3*leavingBound)
-		is.True(f.leavingTargets[0].arrived("") > 0)
-		is.Equal(f.leavingTargets[0].late(leavingBound, false), nil)
+		f.sendLoad(f.allInstances(), pathSafe, 5*time.Millisecond, 3*leavingBound)
+		is.True(f.leavingTargets[0].requestsExceptFrom("") > 0)
+		is.Equal(f.leavingTargets[0].lateSenders(leavingBound, false), nil)
 	})
 }
 
@@ -482,14 +482,14 @@
 		defer f.end()
 		s := f.leavingTargets[0]
 		s.startLeaving()
-		f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
+		f.sendLoad(f.allInstances(), pathSafe, 5*time.Millisecond, time.Second)
 		s.stop()
 		time.Sleep(100 * time.Millisecond)
 		s.start()
 		time.Sleep(time.Second)
-		f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
+		f.sendLoad(f.allInstances(), pathSafe, 5*time.Millisecond, time.Second)
 		for _, g := range f.gateways {
-			is.True(s.from(g.settings().Name) > 0)
+			is.True(s.requestsFrom(g.settings().Name) > 0)
 		}
 	})
 }
@@ -508,10 +508,10 @@
 				w.Header().Set(leavingHeader, "1")
 			})
 		})
-		f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
+		f.sendLoad(f.allInstances(), pathSafe, 5*time.Millisecond, time.Second)
 		s.resetCounts()
-		f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
-		is.True(s.arrived("") > 0)
+		f.sendLoad(f.allInstances(), pathSafe, 5*time.Millisecond, time.Second)
+		is.True(s.requestsExceptFrom("") > 0)
 	})
 }
 
@@ -525,15 +525,15 @@
 		for _, s := range f.leavingTargets {
 			s.startLeaving()
 		}
-		f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
-		f.loadGenerators.Wait()
+		f.sendLoad(f.allInstances(), pathSafe, 5*time.Millisecond, time.Second)
+		f.pendingRequests.Wait()
 		for _, s := range f.leavingTargets {
 			s.resetCounts()
 		}
 		for i := range 6 {
-			began := time.Now()
+			start := time.Now()
 			conn := f.dialCaller(i % 3)
-			body := fmt.Sprintf("e-%03d %d", i%3, began.UnixNano())
+			body := fmt.Sprintf("e-%03d %d", i%3, start.UnixNano())
 			_, err := fmt.Fprintf(conn, "POST %sx HTTP/1.1\r\nHost: %s\r\n%s: all-%d\r\n%s: key\r\nContent-Length: %d\r\n\r\n%s", pathOnce, anyHost, trafficID, i, trafficKey, len(body), body)
 			is.NoErr(err)
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -543,10 +543,10 @@
 			data, err := io.ReadAll(resp.Body)
 			is.NoErr(err)
 			is.True(strings.Contains(string(data), `"not-run"`))
-			is.True(time.Since(began) < 50*time.Millisecond)
+			is.True(time.Since(start) < 50*time.Millisecond)
 		}
 		for _, s := range f.leavingTargets {
-			is.Equal(s.arrived(""), 0)
+			is.Equal(s.requestsExceptFrom(""), 0)
 		}
 	})
 }
@@ -558,7 +558,7 @@
 		f := newLeavingFleet(t, 3, 1)
 		defer f.end()
 		s := f.leavingTargets[0]
-		s.setHandler(streams)
+		s.setHandler(streamAll)
 		got := make(chan trafficResponse, 1)
 		go func() { got <- f.sendOne(0, pathStream) }()
 		time.Sleep(time.Second)
@@ -579,22 +579,22 @@
 		defer f.end()
 		f.silenceStore(true)
 		s := f.leavingTargets[0]
-		s.setHandler(streams)
-		var all sync.WaitGroup
+		s.setHandler(streamAll)
+		var requests sync.WaitGroup
 		for i := range 9 {
-			all.Add(1)
+			requests.Add(1)
 			go func() {
-				defer all.Done()
+				defer requests.Done()
 				f.sendOne(i%3, pathStream)
 			}()
 		}
 		time.Sleep(500 * time.Millisecond)
-		is.True(s.arrived("") > 0)
+		is.True(s.requestsExceptFrom("") > 0)
 		s.setHandler(nil)
 		s.startLeaving()
-		f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
+		f.sendLoad(f.allInstances(), pathSafe, 5*time.Millisecond, time.Second)
 		s.stop()
-		all.Wait()
+		requests.Wait()
 		time.Sleep(time.Second)
 		for _, g := range f.gateways {
 			is.True(g.quarantine.Empty())
@@ -625,8 +625,8 @@
 		_, err := f.gateways[0].rollout.fetchReport(t.Context(), target)
 		is.NoErr(err)
 		time.Sleep(time.Second)
-		f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
-		is.Equal(s.arrived(""), 0)
+		f.sendLoad(f.allInstances(), pathSafe, 5*time.Millisecond, time.Second)
+		is.Equal(s.requestsExceptFrom(""), 0)
 		is.Equal(f.failures(), 0)
 	})
 }
@@ -643,7 +643,7 @@
 		_, err := f.gateways[0].rollout.fetchReport(t.Context(), target)
 		is.True(err != nil)
 		time.Sleep(time.Second)
-		f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
-		is.True(s.arrived("") > 0)
+		f.sendLoad(f.allInstances(), pathSafe, 5*time.Millisecond, time.Second)
+		is.True(s.requestsExceptFrom("") > 0)
 	})
 }
--- a/internal/gateway/retry_after_test.go
+++ b/internal/gateway/retry_after_test.go
@@ -19,8 +19,8 @@
 		defer f.end()
 		a := f.send(0, pathOnce, "x") // it ends with a target's refusal
 		is.Equal(a.status, http.StatusServiceUnavailable)
-		is.True(!a.isLocal())
-		is.True(a.retry >= retryAfterShort)
-		is.True(a.retry <= maxRetryAfter)
+		is.True(!a.isBackoffRefusal())
+		is.True(a.retryAfter >= retryAfterShort)
+		is.True(a.retryAfter <= maxRetryAfter)
 	})
 }
--- a/internal/gateway/rollout_backoff_test.go
+++ b/internal/gateway/rollout_backoff_test.go
@@ -66,7 +66,7 @@
 // newLoadFleet plays such an instance.
 func newLoadFleet(t *testing.T, e *countingEngines, play func(is *is.I, f *loadFleet)) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newBackoffFleet(t, 1, served)
+		f := newBackoffFleet(t, 1, serve)
 		defer f.end()
 		g := f.gateways[0]
 		g.engines = e
@@ -174,8 +174,8 @@
 		time.Sleep(time.Second)
 		answers := f.sendLoad(pathSafe, 100*time.Millisecond, during-time.Second)
 		<-done
-		is.True(count(answers, backoffResponse.isLocal) <= len(answers)/2)
-		is.Equal(count(answers, backoffResponse.isLocal)+count(answers, func(a backoffResponse) bool { return a.status == http.StatusOK }), len(answers))
+		is.True(count(answers, backoffResponse.isBackoffRefusal) <= len(answers)/2)
+		is.Equal(count(answers, backoffResponse.isBackoffRefusal)+count(answers, func(a backoffResponse) bool { return a.status == http.StatusOK }), len(answers))
 	})
 }
 
--- a/internal/gateway/staleness_test.go
+++ b/internal/gateway/staleness_test.go
@@ -53,12 +53,12 @@
 				for i, d := range f.storeClients {
 					d.setSilent(c.stores || i == alone)
 				}
-				f.net.setCut(host, c.peers)
+				f.net.setIsolated(host, c.peers)
 				time.Sleep(within / 2)
 				is.True(f.gateways[alone].Ready()) // it may be over soon
 				time.Sleep(within)
 				is.Equal(f.gateways[alone].Ready(), !c.refuses)
-				f.net.setCut(host, false) // its callers reach it, and its peers don't yet
+				f.net.setIsolated(host, false) // its callers reach it, and its peers don't yet
 				want := http.StatusNotFound
 				if c.refuses {
 					want = http.StatusServiceUnavailable
--- a/internal/gateway/traffic_test.go
+++ b/internal/gateway/traffic_test.go
@@ -185,7 +185,7 @@
 // isolation cuts instances off from everything but callers, or lets them back.
 func (f *trafficFleet) isolate(instances []int, yes bool) {
 	for _, i := range instances {
-		f.net.setCut(f.gateways[i].settings().Name, yes)
+		f.net.setIsolated(f.gateways[i].settings().Name, yes)
 		f.storeClients[i].setSilent(yes)
 	}
 }
--- a/internal/gateway/unreachable_zones_test.go
+++ b/internal/gateway/unreachable_zones_test.go
@@ -54,7 +54,7 @@
 func (f *evacuatedFleet) cutZone(zone string, yes bool) {
 	for _, m := range f.targets {
 		if m.zone == zone {
-			f.net.setCut(m.name, yes)
+			f.net.setIsolated(m.name, yes)
 		}
 	}
 	for i, g := range f.gateways {
@@ -111,7 +111,7 @@
 		f := newEvacuatedFleet(t, 9)
 		defer f.end()
 		dark := f.targets[1]
-		f.net.setCut(dark.name, true)
+		f.net.setIsolated(dark.name, true)
 		_, before := f.arrivals.in(dark.zone)
 		f.record(pathSafe, "", requestInterval, 5*time.Second)
 		if _, after := f.arrivals.in(dark.zone); after-before < 200 {
@@ -126,11 +126,11 @@
 		f := newEvacuatedFleet(t, 9)
 		defer f.end()
 		for _, m := range f.targets {
-			f.net.setCut(m.name, true)
+			f.net.setIsolated(m.name, true)
 		}
 		f.record(pathSafe, "", 50*time.Millisecond, 3*time.Second)
 		for _, m := range f.targets {
-			f.net.setCut(m.name, false)
+			f.net.setIsolated(m.name, false)
 		}
 		time.Sleep(time.Second)
 		for _, one := range f.record(pathSafe, "", 50*time.Millisecond, 2*time.Second) {
