--- a/internal/gateway/leaving.go
+++ b/internal/gateway/leaving.go
@@ -10,19 +10,20 @@
 	"github.com/shedhoist/shedhoist/internal/registry"
 )
 
-// A target that leaves says so in all its answers, perhaps long before its entry does: that
-// waits for the object store. Each instance goes by the answers that it gets, and instances
-// tell one another, so that those that got none do not send more.
+// A target that leaves says so in each of its responses, possibly long before its entry does, since
+// the entry has to be written to the object store first. An instance acts on the responses it
+// receives, and instances report leaving targets to one another, so that those that received no such
+// response stop sending requests as well.
 
-// maxLeavingTargets is how many lives one message names, some 30 bytes each. Where a whole zone leaves
-// while the object store is away, the next messages name the others.
+// maxLeavingTargets is the maximum number of incarnations in one message, at some 30 bytes each. If a
+// whole zone leaves while the object store is unreachable, the following messages name the rest.
 const maxLeavingTargets = 16
 
-// LeavingTargets are lives of targets that have said that they leave.
+// LeavingTargets lists the incarnations of targets that have announced that they leave.
 type LeavingTargets []registry.Incarnation
 
-// UnmarshalCBOR implements cbor.Unmarshaler. What can't be read is left out, and takes nothing
-// else of its message along.
+// UnmarshalCBOR implements cbor.Unmarshaler. It skips items that can't be decoded, so that they don't
+// invalidate the other items or the rest of the message.
 func (l *LeavingTargets) UnmarshalCBOR(data []byte) error {
 	*l = nil
 	var items []cbor.RawMessage
@@ -38,19 +39,19 @@
 	return nil
 }
 
-// leavingReports counts what targets said of leaving that their entries don't say, and what of it
-// this instance heard itself.
+// leavingReports counts the leaving notices of targets whose entries don't say that they leave: all that
+// were received, and those observed by this instance itself, without a peer.
 type leavingReports struct {
 	received, observed uint64
 	nextIndex          map[string]int // by peer, see reportLeavingTo
 }
 
-// leavingRefreshInterval is how often the answers are followed of a target that is known to leave: a next
-// life may give them.
+// leavingRefreshInterval is how often a further notice of a target that is known to leave is applied.
+// Later responses count, since the next incarnation may have given them.
 const leavingRefreshInterval = 200 * time.Millisecond
 
-// noteLeaving takes a target's own word that it leaves. All its answers give it; the first one
-// changes the belief.
+// noteLeaving applies a leaving notice received from the target itself. All responses of a leaving
+// target carry the notice; only the first one changes the control state.
 func (g *Gateway) noteLeaving(t *catalog.Target, source registry.Source) {
 	known := g.view.Load().Targets[t.ID]
 	if known != nil && known.LeavingNotice && !known.NoticeInherited && source.RequestSent.Sub(known.NoticeRequestSent) < leavingRefreshInterval {
@@ -59,7 +60,7 @@
 	g.sendEvent(targetLeaving{incarnation: registry.IncarnationOf(t), source: source})
 }
 
-// targetLeaving brings a target's own word that it leaves.
+// targetLeaving is the event of a leaving notice received from the target itself.
 type targetLeaving struct {
 	incarnation registry.Incarnation
 	source      registry.Source
@@ -73,14 +74,14 @@
 	}
 }
 
-// transferBackoff takes that a target has started again, with the rest that its new life has asked for
-// already.
+// transferBackoff handles a restart of a target: a backoff that was noted for the previous incarnation,
+// but was requested by the new one, is transferred to the new one.
 func (g *Gateway) transferBackoff(c *controlState, restart registry.Restart) {
 	now := c.now()
 	g.breaker.TransferBackoff(restart.PreviousID, restart.ID, registry.InheritedNoticeTTL, func(sent time.Time) bool { return registry.StartedBeforeRequest(restart.Start, sent, now) })
 }
 
-// leavingReceived brings the same by a peer.
+// leavingReceived is the event of leaving notices reported by a peer.
 type leavingReceived struct {
 	targets LeavingTargets
 	from    member.Member
@@ -88,8 +89,8 @@
 
 func (e leavingReceived) apply(c *controlState) { c.receiveLeaving(e.targets, e.from) }
 
-// noteLeaving takes a peer's word of targets that leave. That of one which is not in the list is
-// kept, since peers may know the list earlier.
+// receiveLeaving applies leaving notices reported by a peer. A notice of a target that is not listed is
+// kept too, since the peer may have a newer list.
 func (c *controlState) receiveLeaving(targets LeavingTargets, from member.Member) {
 	for _, incarnation := range targets {
 		if c.targets.ApplyLeavingNotice(incarnation, registry.Source{Channel: string(fromPeer), Reporter: from.Name}, c.now()) {
@@ -99,12 +100,12 @@
 	}
 }
 
-// reportLeaving is reportLeavingTo for a message to several peers, or to one whose name is not known.
+// reportLeaving is reportLeavingTo for a message to several peers, or to a peer whose name is not known.
 func (c *controlState) reportLeaving() LeavingTargets { return c.reportLeavingTo("") }
 
-// reportLeavingTo names lives that have said that they leave to a peer, as long as their entries
-// don't. Of more than fit into a message those heard of last go first, and each message to the
-// peer goes on where the one before ended.
+// reportLeavingTo returns the incarnations to report to a peer as leaving: those that have announced it
+// and whose entries don't say so yet. If there are more than fit into a message, the latest notices go
+// first, and each message to the peer continues where the previous one ended.
 func (c *controlState) reportLeavingTo(peer string) LeavingTargets {
 	all := c.targets.LeavingByNotice()
 	if len(all) <= maxLeavingTargets {
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -9,7 +9,7 @@
 	"github.com/shedhoist/shedhoist/internal/registry"
 )
 
-// applyNotice takes what a target says of itself in an answer.
+// applyNotice applies the notice that a target attached to a response.
 func (g *Gateway) applyNotice(t *catalog.Target, notice Notice, source registry.Source) {
 	if notice.Leaving {
 		metric.LeavingNotices.Inc()
@@ -21,8 +21,9 @@
 	}
 }
 
-// applyBackoff keeps callers' requests from a target that wants none for some time. Each instance
-// goes by what it was told itself: a target asks those of which it gets too much.
+// applyBackoff sends no callers' requests to a target for the time for which it has requested a backoff.
+// Each instance applies only the requests it received itself, since a target requests a backoff of the
+// instances that send it too much.
 func (g *Gateway) applyBackoff(t *catalog.Target, backoff time.Duration, source registry.Source) {
 	if next := g.respondingIncarnation(t, source); next != t {
 		t, backoff = next, min(backoff, registry.InheritedNoticeTTL)
@@ -35,8 +36,8 @@
 		WithField("from", source.Channel).WithField("by", source.Reporter).Info("target asks for rest")
 }
 
-// respondingIncarnation is the life of a target that gave an answer: not the one that was meant, if another
-// has been listed meanwhile that had started before the request was sent.
+// respondingIncarnation returns the incarnation of a target that gave a response: the addressed one,
+// unless a later one has been listed meanwhile that had started before the request was sent.
 func (g *Gateway) respondingIncarnation(addressed *catalog.Target, source registry.Source) *catalog.Target {
 	if source.RequestSent.IsZero() {
 		return addressed
@@ -53,8 +54,8 @@
 	return addressed
 }
 
-// reportingIncarnation is the life of a target that gave a report: not the one that was asked, if that is
-// over.
+// reportingIncarnation returns the incarnation of a target that gave a report: the addressed one, unless
+// the report tells another start.
 func reportingIncarnation(addressed *catalog.Target, report Report) *catalog.Target {
 	if report.Start == 0 || addressed.Start == 0 || report.Start == addressed.Start {
 		return addressed
@@ -63,7 +64,8 @@
 	return &other
 }
 
-// noticeOf is the word that came with the answer to a call, or with its refusal.
+// noticeOf returns the notice that came with the response to a call: notice, or that of the error if the call
+// was refused.
 func noticeOf(notice Notice, err error) Notice {
 	var callErr *CallError
 	if errors.As(err, &callErr) {
