--- a/internal/gateway/leaving_hello_test.go
+++ b/internal/gateway/leaving_hello_test.go
@@ -8,8 +8,8 @@
 	"github.com/shedhoist/shedhoist/internal/core/member"
 )
 
-// TestLeavingIsReportedBothWays guards against a word of leaving that a peer with nothing to tell
-// itself does not hear: the probes of an instance and its answers to probes name it.
+// TestLeavingIsReportedBothWays guards against a peer that doesn't receive a leaving notice because it has
+// none to report itself: both the hello requests of an instance and its hello replies carry the notices.
 func TestLeavingIsReportedBothWays(t *testing.T) {
 	is := is.New(t)
 	c, incarnations := controlWithTargets(3)
--- a/internal/gateway/leaving_incarnations_test.go
+++ b/internal/gateway/leaving_incarnations_test.go
@@ -15,20 +15,20 @@
 	"github.com/shedhoist/shedhoist/internal/registry"
 )
 
-// TestWhenNoticePrecedesEntry guards against the word of a life whose entry had not come yet being lost
-// when that comes, and against a life that has said nothing being left out for the one before.
+// TestWhenNoticePrecedesEntry guards against losing the notice of a new incarnation when its entry arrives
+// after the notice, and against leaving out an incarnation without a notice because of the previous one.
 func TestWhenNoticePrecedesEntry(t *testing.T) {
 	cases := []struct {
 		name        string
-		before, new bool          // what the life before says, and the new one
-		wait        time.Duration // between the ends of requests and the life before, and from there to the new one
-		lapses      bool          // the entry lapses before the new one is written
+		before, new bool          // whether the previous and the new incarnation announce that they leave
+		wait        time.Duration // from the last request to the end of the previous incarnation, and from there to the new one
+		expires     bool          // the entry expires before the new one is written
 	}{
-		{name: "the new life says it", new: true, wait: 100 * time.Millisecond},
-		{name: "the new life says it, and the entry lapsed", new: true, wait: 100 * time.Millisecond, lapses: true},
-		{name: "the life before said it", before: true, wait: 100 * time.Millisecond},
-		{name: "the life before said it, and the entry lapsed", before: true, wait: time.Second, lapses: true},
-		{name: "nobody says it", wait: 100 * time.Millisecond},
+		{name: "notice of the new incarnation", new: true, wait: 100 * time.Millisecond},
+		{name: "notice of the new incarnation, and the entry expired", new: true, wait: 100 * time.Millisecond, expires: true},
+		{name: "notice of the previous incarnation", before: true, wait: 100 * time.Millisecond},
+		{name: "notice of the previous incarnation, and the entry expired", before: true, wait: time.Second, expires: true},
+		{name: "no notice", wait: 100 * time.Millisecond},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -47,7 +47,7 @@
 				time.Sleep(c.wait)
 				s.stop()
 				time.Sleep(c.wait)
-				if c.lapses {
+				if c.expires {
 					f.store.remove(memoryTargets, s.name)
 				}
 				s.start()
@@ -61,7 +61,7 @@
 				f.silenceStore(false)
 				f.sendLoad(f.allInstances(), pathSafe, 5*time.Millisecond, 3*leavingBound)
 				if lateSenders := s.lateSenders(leavingBound, true); len(lateSenders) > 0 {
-					t.Errorf("requests were sent to it after it had said that it leaves: %v", lateSenders)
+					t.Errorf("requests sent too late after the first leaving notice: %v", lateSenders)
 				}
 				if !c.new {
 					s.resetCounts()
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestRequestedBackoffBeforeEntry guards against the rest that a life asked for before its entry came being
-// cut short when that comes, and against one that the life before asked for.
+// TestRequestedBackoffBeforeEntry guards against ending the backoff of a new incarnation early when its
+// entry arrives, and against applying the backoff of the previous incarnation to the new one.
 func TestRequestedBackoffBeforeEntry(t *testing.T) {
 	const (
 		every   = 20 * time.Millisecond
@@ -85,9 +85,9 @@
 	requestBackoff := func(time.Duration, int, string) scriptedResponse {
 		return scriptedResponse{status: http.StatusServiceUnavailable, notExecuted: true, backoff: backoff}
 	}
-	for name, scripts := range map[string][2]responseScript{ // of the life before, and of the new one
-		"the new life asks for it":     {serve, requestBackoff},
-		"the life before asked for it": {requestBackoff, serve},
+	for name, scripts := range map[string][2]responseScript{ // of the previous incarnation, and of the new one
+		"requested by the new incarnation":      {serve, requestBackoff},
+		"requested by the previous incarnation": {requestBackoff, serve},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -109,17 +109,17 @@
 				f.sendLoad(pathSafe, every, backoff/2)
 				f.checkBackoffs()
 				if len(m.backoffPeriods()) == 0 {
-					is.True(len(m.receivedAll()) > 50) // it is used as before
+					is.True(len(m.receivedAll()) > 50) // the new incarnation is used normally
 				}
 			})
 		})
 	}
 }
 
-// TestRequestedBackoffOfRespondingIncarnation guards against a rest being noted of a life that is over where its
-// next one, which has just been listed, gave the answer.
+// TestRequestedBackoffOfRespondingIncarnation guards against applying a backoff to the incarnation that the
+// request was addressed to if a later one, which has just been listed, gave the response.
 func TestRequestedBackoffOfRespondingIncarnation(t *testing.T) {
-	const before, next = 10_000, 20_000 // starts, Unix ms
+	const before, next = 10_000, 20_000 // start times, Unix ms
 	for sent, want := range map[int64]string{15_000: "i-1@10000", 25_000: "i-1@20000"} {
 		is := is.New(t)
 		clock := func() time.Time { return time.UnixMilli(30_000) }
@@ -132,12 +132,12 @@
 	}
 }
 
-// TestOwnNoticeAfterInherited guards against a life's own word that it leaves being taken for the one it
-// has inherited, which ends by itself.
+// TestOwnNoticeAfterInherited guards against taking an incarnation's own leaving notice for the one that it
+// has inherited, which expires.
 func TestOwnNoticeAfterInherited(t *testing.T) {
 	for name, own := range map[string]func(sent time.Time) registry.Source{
 		"in a report": func(time.Time) registry.Source { return registry.Source{Channel: string(fromReport)} },
-		"in an answer": func(sent time.Time) registry.Source {
+		"in a response": func(sent time.Time) registry.Source {
 			return registry.Source{Channel: string(fromAnswer), RequestSent: sent.Add(leavingRefreshInterval / 4)}
 		},
 	} {
@@ -161,10 +161,10 @@
 	}
 }
 
-// TestInheritedBackoffEnds guards against a healthy life that rests for long since clocks have it inherit
-// the rest of the life before.
+// TestInheritedBackoffEnds guards against a healthy incarnation that stays unused for long because it has
+// inherited the backoff of the previous incarnation due to clock differences.
 func TestInheritedBackoffEnds(t *testing.T) {
-	const before, next = 10_000, 20_000 // starts, Unix ms
+	const before, next = 10_000, 20_000 // start times, Unix ms
 	is := is.New(t)
 	clock := func() time.Time { return time.UnixMilli(30_000) }
 	g := &Gateway{now: clock, breaker: breaker.New(clock), log: &log.Logger{Handler: discard.Default}}
--- a/internal/gateway/leaving_pages_test.go
+++ b/internal/gateway/leaving_pages_test.go
@@ -9,11 +9,12 @@
 	"github.com/shedhoist/shedhoist/internal/registry"
 )
 
-// TestEachPeerReceivesAllLeavingTargets guards against peers that are told in turn and each hear of a part of the lives that leave.
+// TestEachPeerReceivesAllLeavingTargets guards against peers that each receive only some of the leaving
+// targets because messages to all of them share one position in the list.
 func TestEachPeerReceivesAllLeavingTargets(t *testing.T) {
 	const leaving, messages = 5 * maxLeavingTargets / 2, 3
 	report := map[string]func(c *controlState, peer string) LeavingTargets{
-		"answers": func(c *controlState, peer string) LeavingTargets {
+		"replies": func(c *controlState, peer string) LeavingTargets {
 			return c.replyHello(&HelloRequest{From: member.Member{Name: peer}}).Leaving
 		},
 		"probes": func(c *controlState, peer string) LeavingTargets { return c.newHelloTo(peer, false).Leaving },
@@ -41,7 +42,7 @@
 				is.Equal(len(reported[peer]), leaving)
 			}
 			targetLeaving{incarnation: incarnations[500]}.apply(c)
-			for _, peer := range peers { // what is new goes first to each
+			for _, peer := range peers { // the latest notice goes first to each peer
 				is.Equal(report(c, peer)[0], incarnations[500])
 			}
 		})
--- a/internal/gateway/leaving_reports_test.go
+++ b/internal/gateway/leaving_reports_test.go
@@ -16,7 +16,7 @@
 	"github.com/shedhoist/shedhoist/internal/registry"
 )
 
-// controlWithTargets is an instance that knows n targets.
+// controlWithTargets returns the control state of an instance that knows n targets, and their incarnations.
 func controlWithTargets(n int) (*controlState, []registry.Incarnation) {
 	c := controlOf("e-0", "z0")
 	targets := targetsOf(n, 3)
@@ -28,13 +28,13 @@
 	return c, incarnations
 }
 
-// registryRevision is later than the entries of targetsOf.
+// registryRevision is later than the revisions of the entries of targetsOf.
 const registryRevision = 10_000
 
 func memberNamed(name string) member.Member { return member.Member{Name: name} }
 
-// TestLeavingIsReportedInPages guards against messages that grow with the targets that leave, and
-// against words that are never told.
+// TestLeavingIsReportedInPages guards against messages that grow with the number of leaving targets, and
+// against leaving targets that are never reported.
 func TestLeavingIsReportedInPages(t *testing.T) {
 	is := is.New(t)
 	c, incarnations := controlWithTargets(600)
@@ -52,11 +52,11 @@
 	}
 	is.Equal(len(reported), 40)
 	targetLeaving{incarnation: incarnations[500]}.apply(c)
-	is.Equal(c.reportLeaving()[0], incarnations[500]) // what is new goes first
+	is.Equal(c.reportLeaving()[0], incarnations[500]) // the latest notice goes first
 }
 
-// TestLeavingIsRelayedOnce guards against words that go to and fro: what a peer tells is news
-// once, and a word from everybody changes nothing more.
+// TestLeavingIsRelayedOnce guards against reports that peers send to and fro: a peer's report of a leaving
+// target is an update once, and the same report from other peers changes nothing.
 func TestLeavingIsRelayedOnce(t *testing.T) {
 	is := is.New(t)
 	lines := memory.New()
@@ -81,12 +81,12 @@
 	is.Equal(line.Fields["by"], "e-a")
 }
 
-// TestLeavingIsGossiped guards against a word that waits for the next probe: whoever heard it itself
-// tells it as one that knows first.
+// TestLeavingIsGossiped guards against a leaving notice that isn't sent to peers before the next probe: the
+// instance that received it from the target sends it on as the first source.
 func TestLeavingIsGossiped(t *testing.T) {
 	is := is.New(t)
 	c, incarnations := controlWithTargets(3)
-	v, mark := &View{}, c.updateMark() // it is no watcher
+	v, mark := &View{}, c.updateMark() // not a watcher
 	c.receiveLeaving(LeavingTargets{incarnations[0]}, memberNamed("e-a"))
 	c.noteUpdates(v, mark)
 	is.True(c.pendingUpdates.changed && !c.pendingUpdates.firstSource)
@@ -100,8 +100,8 @@
 	is.True(!c.pendingUpdates.changed && !c.pendingUpdates.firstSource)
 }
 
-// TestLeavingTargetGetsNoOrders guards against loads of weights at a target that has said that it leaves,
-// and against its zone being looked at there.
+// TestLeavingTargetGetsNoOrders guards against ordering a leaving target to load weights, and against using
+// it to probe its zone.
 func TestLeavingTargetGetsNoOrders(t *testing.T) {
 	is := is.New(t)
 	c, incarnations := controlWithTargets(3)
@@ -112,11 +112,11 @@
 	is.Equal(len(v.Outdated), 2)
 	is.Equal(len(v.Serving["s"]), 2)
 	is.Equal(len(v.targetsInZone("z0")), 0)
-	is.True(v.Targets["i-0000"] != nil) // what runs there ends
+	is.True(v.Targets["i-0000"] != nil) // requests in flight there may end
 }
 
-// TestLeavingNoticesAreCheap guards against work for each answer of a target that leaves: all of
-// them say so.
+// TestLeavingNoticesAreCheap guards against work for each response of a leaving target, since all of them
+// carry the notice.
 func TestLeavingNoticesAreCheap(t *testing.T) {
 	is := is.New(t)
 	c, incarnations := controlWithTargets(1)
@@ -133,8 +133,8 @@
 	is.Equal(len(g.events), 1)
 }
 
-// TestOwnNoticeBesideEntry guards against a target's own word being passed over since its entry
-// says the same: the entry may take it back.
+// TestOwnNoticeBesideEntry guards against ignoring a target's own leaving notice because its entry says the
+// same: a later entry may say that it is ready.
 func TestOwnNoticeBesideEntry(t *testing.T) {
 	is := is.New(t)
 	c, _ := controlWithTargets(1)
@@ -146,15 +146,15 @@
 	g.applyNotice(&draining[0], Notice{Leaving: true}, registry.Source{})
 	is.Equal(len(g.events), 1)
 	(<-g.events).apply(c)
-	is.Equal(c.leavingReports, leavingReports{}) // no news to peers: the entry tells them
+	is.Equal(c.leavingReports, leavingReports{}) // not reported to peers: the entry tells them
 	ready := targetsOf(1, 3)
 	ready[0].Revision = registryRevision + 2
 	c.targets.ApplyChanges(registryRevision+2, ready, nil, at0)
 	is.Equal(len(c.buildView().Serving["s"]), 0)
 }
 
-// TestUnreadableLeavingTargets guards against a word that can't be read taking others, or its message,
-// along.
+// TestUnreadableLeavingTargets guards against an item that can't be decoded invalidating other items or its
+// message.
 func TestUnreadableLeavingTargets(t *testing.T) {
 	is := is.New(t)
 	valid := registry.Incarnation{Name: "i-1", Start: 7}
@@ -180,10 +180,10 @@
 	}
 }
 
-// maxLeavingBytes is what the words on targets that leave may cost a message.
+// maxLeavingBytes is the maximum size of the leaving targets in a message.
 const maxLeavingBytes = 600
 
-// TestLeavingTargetsAreBounded guards against control messages that grow beyond what an instance may spend.
+// TestLeavingTargetsAreBounded guards against control messages that exceed an instance's traffic budget.
 func TestLeavingTargetsAreBounded(t *testing.T) {
 	is := is.New(t)
 	var targets LeavingTargets
@@ -200,7 +200,8 @@
 	is.Equal(h.Leaving, targets)
 }
 
-// FuzzLeavingTargets: whatever stands there, the rest of the message is read, and the words are few.
+// FuzzLeavingTargets checks that, whatever the field of the leaving targets holds, the rest of the message
+// is decoded, and the targets are valid and bounded in number.
 func FuzzLeavingTargets(f *testing.F) {
 	for _, items := range []any{"x", []any{registry.Incarnation{Name: "i-1", Start: 7}}, []any{1, nil}} {
 		data, err := cbor.Marshal(items)
@@ -212,7 +213,7 @@
 	f.Fuzz(func(t *testing.T, items []byte) {
 		data, err := cbor.Marshal(map[int]any{1: member.Member{Name: "e-1"}, 9: cbor.RawMessage(items)})
 		if err != nil || cbor.Wellformed(data) != nil {
-			return // the message is none
+			return // not a valid message
 		}
 		var h HelloRequest
 		if err := cbor.Unmarshal(data, &h); err != nil || h.From.Name != "e-1" || len(h.Leaving) > maxLeavingTargets {
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -18,18 +18,18 @@
 	"github.com/shedhoist/shedhoist/internal/catalog"
 )
 
-// leavingBound is the time after which no request may be sent to a target that has said that it
-// leaves, by an instance that passed such an answer on.
+// leavingBound is the time after a target's first leaving notice until which all instances that have
+// received the notice must have stopped sending it requests.
 const leavingBound = 2 * time.Second
 
-// Headers and paths of the dialect.
+// Headers of leavingCodec and its problem responses.
 const (
 	leavingHeader     = "Leaving"
 	notExecutedHeader = "Not-Run"
 	retryAfterHeader  = "Retry-After"
 )
 
-// leavingCodec is a dialect whose targets say in their answers that they leave.
+// leavingCodec is the codec of targets whose responses carry leaving notices.
 type leavingCodec struct{ trafficCodec }
 
 // DecodeConfig implements Codec.
@@ -49,7 +49,7 @@
 	}
 }
 
-// leavingTarget is a target that says in its answers that it leaves.
+// leavingTarget is a target that announces in its responses that it leaves.
 type leavingTarget struct {
 	f    *leavingFleet
 	name string
@@ -57,15 +57,15 @@
 
 	mu                   sync.Mutex
 	srv                  *http.Server
-	startedAt            int64 // Unix ms of its life's start; 0: its entry does not tell
+	startedAt            int64 // start of its incarnation, Unix ms; 0: not in its entry
 	leaving              bool
-	handler              func(w http.ResponseWriter, r *http.Request, leaves bool) // nil: with its name
-	firstLeavingResponse map[string]time.Time                                      // when it first said so to an instance
-	lastRequestSent      map[string]time.Time                                      // when the last request that came by an instance was sent
-	requestCounts        map[string]int                                            // requests that came by an instance
+	handler              func(w http.ResponseWriter, r *http.Request, leaving bool) // nil: responds with its name
+	firstLeavingResponse map[string]time.Time                                       // time of the first response with a notice, by instance
+	lastRequestSent      map[string]time.Time                                       // when the last request received was sent, by instance
+	requestCounts        map[string]int                                             // requests received, by instance
 }
 
-// start begins a life, with an entry of its own.
+// start starts a new incarnation and writes its entry.
 func (s *leavingTarget) start() {
 	ln, err := s.f.net.listen(s.name + ":1")
 	if err != nil {
@@ -79,11 +79,11 @@
 	}
 	s.firstLeavingResponse, s.lastRequestSent, s.requestCounts = map[string]time.Time{}, map[string]time.Time{}, map[string]int{}
 	s.mu.Unlock()
-	go func() { _ = srv.Serve(ln) }() // it ends with the life
+	go func() { _ = srv.Serve(ln) }() // ends with the incarnation
 	s.writeEntry(false)
 }
 
-// stop ends the life; its address refuses connections.
+// stop ends the incarnation; its address refuses connections from then on.
 func (s *leavingTarget) stop() {
 	s.f.closeListeners(s.name + ":1")
 	s.mu.Lock()
@@ -92,27 +92,27 @@
 	srv.Close()
 }
 
-// writeEntry writes the target's entry.
+// writeEntry writes the target's entry, with its leaving flag.
 func (s *leavingTarget) writeEntry(leaving bool) {
 	s.f.store.set(memoryTargets, s.name, catalog.Target{Service: "s", Address: s.name + ":1", Zone: s.zone, Start: s.startedAt, Leaving: leaving,
 		Models: []catalog.ModelVersion{{Model: "m", Version: 1}}})
 }
 
-// startLeaving has all answers from now on say so.
+// startLeaving makes all responses from now on carry a leaving notice.
 func (s *leavingTarget) startLeaving() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = true
 }
 
-// setHandler replaces how requests are answered.
-func (s *leavingTarget) setHandler(f func(w http.ResponseWriter, r *http.Request, leaves bool)) {
+// setHandler replaces the handler of requests.
+func (s *leavingTarget) setHandler(handler func(w http.ResponseWriter, r *http.Request, leaving bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.handler = f
+	s.handler = handler
 }
 
-// resetCounts drops what was noted of requests.
+// resetCounts drops what was recorded of requests.
 func (s *leavingTarget) resetCounts() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,7 +121,7 @@
 	clear(s.requestCounts)
 }
 
-// requestsExceptFrom is how many requests came by instances, but one of them.
+// requestsExceptFrom returns how many requests came from all instances except one.
 func (s *leavingTarget) requestsExceptFrom(except string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,7 +134,7 @@
 	return n
 }
 
-// requestsFrom is how many came by one instance.
+// requestsFrom returns how many requests came from an instance.
 func (s *leavingTarget) requestsFrom(instance string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,7 +145,7 @@
 func (s *leavingTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // its caller is gone
+		return // the caller is gone
 	}
 	instance, sentAt, _ := strings.Cut(string(body), " ")
 	ns, err := strconv.ParseInt(sentAt, 10, 64)
@@ -173,11 +173,11 @@
 		handler(w, r, leaving)
 		return
 	}
-	_, _ = io.WriteString(w, s.name) // a caller that is gone needs no answer
+	_, _ = io.WriteString(w, s.name) // fails only if the caller is gone
 }
 
-// lateSenders lists the instances by which the target was sent requests later than bound after it had
-// first told them that it leaves; together: after it had first told any.
+// lateSenders lists the instances that sent requests to the target more than bound after its first notice
+// to them, or, with byAny, after its first notice to any instance.
 func (s *leavingTarget) lateSenders(bound time.Duration, byAny bool) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -200,24 +200,25 @@
 	return out
 }
 
-// leavingFleet is a fleet before targets that say in their answers that they leave.
+// leavingFleet is a fleet with targets that announce in their responses that they leave.
 type leavingFleet struct {
 	*trafficFleet
 	leavingTargets  []*leavingTarget
-	noStartTime     bool // the targets' entries don't tell when their lives started
+	noStartTime     bool // the targets' entries have no start times
 	pendingRequests sync.WaitGroup
 
 	mu     sync.Mutex
 	failed int
 }
 
-// newLeavingFleet starts n instances and some targets in two zones.
+// newLeavingFleet starts n instances and a number of targets in two zones.
 func newLeavingFleet(t *testing.T, n, targets int) *leavingFleet {
-	return newFleetWithoutStartTimes(t, n, targets, false)
+	return newLeavingFleetWith(t, n, targets, false)
 }
 
-// newFleetWithoutStartTimes is newLeavingFleet with targets whose entries don't tell their starts.
-func newFleetWithoutStartTimes(t *testing.T, n, targets int, noStartTime bool) *leavingFleet {
+// newLeavingFleetWith is newLeavingFleet, with targets whose entries have no start times if noStartTime
+// is set.
+func newLeavingFleetWith(t *testing.T, n, targets int, noStartTime bool) *leavingFleet {
 	f := &leavingFleet{trafficFleet: newFleetWith(t, n, 2, 0, fleetOptions{codec: leavingCodec{}}), noStartTime: noStartTime}
 	for i := range targets {
 		s := &leavingTarget{f: f, name: fmt.Sprintf("t-%02d", i), zone: fmt.Sprintf("z%d", i%2)}
@@ -242,7 +243,7 @@
 	return f.requestAt(name+":1", path, name+" "+strconv.FormatInt(time.Now().UnixNano(), 10))
 }
 
-// sendLoad sends requests to instances in turn for a while, and returns when all are sent.
+// sendLoad sends requests to instances in turn for some time, and returns when all are sent.
 func (f *leavingFleet) sendLoad(instances []int, path string, every, duration time.Duration) {
 	for i := 0; time.Duration(i)*every < duration; i++ {
 		f.pendingRequests.Add(1)
@@ -258,7 +259,7 @@
 	}
 }
 
-// failures is how many of these were not served.
+// failures waits for the requests of sendLoad and returns how many were not served.
 func (f *leavingFleet) failures() int {
 	f.pendingRequests.Wait()
 	f.mu.Lock()
@@ -266,7 +267,7 @@
 	return f.failed
 }
 
-// allInstances are the instances.
+// allInstances returns the indexes of all instances.
 func (f *leavingFleet) allInstances() []int {
 	out := make([]int, len(f.gateways))
 	for i := range out {
@@ -275,37 +276,37 @@
 	return out
 }
 
-// refuseIfLeaving answers that the request did not run, once the target leaves.
-func refuseIfLeaving(w http.ResponseWriter, _ *http.Request, leaves bool) {
-	if leaves {
+// refuseIfLeaving responds that the request was not executed, once the target leaves.
+func refuseIfLeaving(w http.ResponseWriter, _ *http.Request, leaving bool) {
+	if leaving {
 		w.Header().Set(notExecutedHeader, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// failSomeIfLeaving answers every eighth request with a failure, once the target leaves.
+// failSomeIfLeaving fails every eighth request, once the target leaves.
 func failSomeIfLeaving() func(http.ResponseWriter, *http.Request, bool) {
 	var mu sync.Mutex
 	n := 0
-	return func(w http.ResponseWriter, _ *http.Request, leaves bool) {
+	return func(w http.ResponseWriter, _ *http.Request, leaving bool) {
 		mu.Lock()
 		defer mu.Unlock()
-		if n++; leaves && n%8 == 0 {
+		if n++; leaving && n%8 == 0 {
 			w.WriteHeader(http.StatusInternalServerError)
 		}
 	}
 }
 
-// Streams of the targets.
+// Streams that targets send.
 const (
 	streamEvents = 15
-	streamGap    = 200 * time.Millisecond // the whole lasts longer than leavingBound
+	streamGap    = 200 * time.Millisecond // a stream lasts longer than leavingBound
 )
 
-// streamAll answers with a stream.
+// streamAll responds with a complete stream.
 func streamAll(w http.ResponseWriter, _ *http.Request, _ bool) { writeEvents(w, streamEvents) }
 
-// breakStream breaks a stream off in the middle.
+// breakStream breaks a stream in the middle.
 func breakStream(w http.ResponseWriter, _ *http.Request, _ bool) {
 	writeEvents(w, streamEvents/2)
 	panic(http.ErrAbortHandler)
@@ -313,13 +314,14 @@
 
 func writeEvents(w http.ResponseWriter, n int) {
 	for i := range n {
-		_, _ = fmt.Fprintf(w, "id: %d\ndata: x\n\n", i+1) // a caller that is gone needs no answer
+		_, _ = fmt.Fprintf(w, "id: %d\ndata: x\n\n", i+1) // fails only if the caller is gone
 		_ = http.NewResponseController(w).Flush()
 		time.Sleep(streamGap)
 	}
 }
 
-// TestLeavingByOwnNotice guards against requests to a target that has said that it leaves, whatever its entry says.
+// TestLeavingByOwnNotice guards against requests to a target that has announced in its responses that it
+// leaves, whatever its entry says.
 func TestLeavingByOwnNotice(t *testing.T) {
 	const every = 5 * time.Millisecond
 	silenceStore := func(f *leavingFleet) { f.silenceStore(true) }
@@ -328,48 +330,48 @@
 		n        int
 		path     string
 		every    time.Duration
-		answers  func(http.ResponseWriter, *http.Request, bool)
-		before   func(f *leavingFleet)                   // right before the target's first word
-		after    func(f *leavingFleet, s *leavingTarget) // while requests come
-		unborn   bool                                    // starts are not told
-		failures bool                                    // some may fail: targets break them, or the retry budget is used up
+		handler  func(http.ResponseWriter, *http.Request, bool)
+		before   func(f *leavingFleet)                   // right before the target's first notice
+		after    func(f *leavingFleet, s *leavingTarget) // while requests are sent
+		noStart  bool                                    // entries have no start times
+		failures bool                                    // requests may fail: targets break them, or the retry budget is used up
 	}{
-		{name: "the store is well, and the entry says ready", n: 3},
+		{name: "the store is reachable, and the entry says ready", n: 3},
 		{name: "the store is silent", n: 3, before: silenceStore},
-		{name: "the store is silent to a large fleet", n: 40, before: silenceStore},
-		{name: "one instance alone", n: 1, before: silenceStore},
-		{name: "requests that run once", n: 3, path: pathOnce, before: silenceStore},
-		{name: "it refuses", n: 3, answers: refuseIfLeaving, before: silenceStore, failures: true},
-		{name: "it fails at times", n: 3, path: pathOnce, answers: failSomeIfLeaving(), before: silenceStore, failures: true},
-		{name: "streams that last longer than the bound", n: 3, path: pathStream, every: 40 * time.Millisecond, answers: streamAll, before: silenceStore},
-		{name: "streams that break and go on elsewhere", n: 3, path: pathStream, every: 40 * time.Millisecond, answers: streamAll, failures: true, before: func(f *leavingFleet) {
+		{name: "the store is silent, large fleet", n: 40, before: silenceStore},
+		{name: "a single instance", n: 1, before: silenceStore},
+		{name: "at-most-once requests", n: 3, path: pathOnce, before: silenceStore},
+		{name: "the target refuses requests", n: 3, handler: refuseIfLeaving, before: silenceStore, failures: true},
+		{name: "the target fails some requests", n: 3, path: pathOnce, handler: failSomeIfLeaving(), before: silenceStore, failures: true},
+		{name: "streams longer than the bound", n: 3, path: pathStream, every: 40 * time.Millisecond, handler: streamAll, before: silenceStore},
+		{name: "broken streams resumed at another target", n: 3, path: pathStream, every: 40 * time.Millisecond, handler: streamAll, failures: true, before: func(f *leavingFleet) {
 			f.silenceStore(true)
 			f.leavingTargets[1].setHandler(breakStream)
 		}},
-		{name: "the entry is written again, as ready", n: 3, after: func(_ *leavingFleet, s *leavingTarget) { s.writeEntry(false) }},
-		{name: "the entry says it, and is written again as ready", n: 3, before: func(f *leavingFleet) { f.leavingTargets[0].writeEntry(true) },
+		{name: "the entry is rewritten as ready", n: 3, after: func(_ *leavingFleet, s *leavingTarget) { s.writeEntry(false) }},
+		{name: "the entry says leaving, and is rewritten as ready", n: 3, before: func(f *leavingFleet) { f.leavingTargets[0].writeEntry(true) },
 			after: func(_ *leavingFleet, s *leavingTarget) { s.writeEntry(false) }},
-		{name: "the entry vanishes and returns", n: 3, after: func(f *leavingFleet, s *leavingTarget) {
+		{name: "the entry is removed and written again", n: 3, after: func(f *leavingFleet, s *leavingTarget) {
 			f.store.remove(memoryTargets, s.name)
 			time.Sleep(500 * time.Millisecond)
 			s.writeEntry(false)
 		}},
-		{name: "starts are not told", n: 3, unborn: true, before: silenceStore},
-		{name: "starts are not told, and the entry vanishes and returns", n: 3, unborn: true, after: func(f *leavingFleet, s *leavingTarget) {
+		{name: "no start times", n: 3, noStart: true, before: silenceStore},
+		{name: "no start times, and the entry is removed and written again", n: 3, noStart: true, after: func(f *leavingFleet, s *leavingTarget) {
 			f.store.remove(memoryTargets, s.name)
 			time.Sleep(2 * time.Second)
 			s.writeEntry(false)
 		}},
-		{name: "the entry can't be read for a while", n: 3, after: func(f *leavingFleet, s *leavingTarget) {
+		{name: "the entry is unreadable for a while", n: 3, after: func(f *leavingFleet, s *leavingTarget) {
 			f.store.set(memoryTargets, s.name, "no entry")
 			time.Sleep(500 * time.Millisecond)
 			s.writeEntry(false)
 		}},
-		{name: "history is lost", n: 3, after: func(f *leavingFleet, s *leavingTarget) {
+		{name: "watch history is lost", n: 3, after: func(f *leavingFleet, s *leavingTarget) {
 			f.store.truncateHistory()
 			s.writeEntry(false)
 		}},
-		{name: "the store returns", n: 3, before: silenceStore, after: func(f *leavingFleet, s *leavingTarget) {
+		{name: "the store becomes reachable again", n: 3, before: silenceStore, after: func(f *leavingFleet, s *leavingTarget) {
 			f.silenceStore(false)
 			time.Sleep(500 * time.Millisecond)
 			s.writeEntry(false)
@@ -379,7 +381,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				f := newFleetWithoutStartTimes(t, c.n, 3, c.unborn)
+				f := newLeavingFleetWith(t, c.n, 3, c.noStart)
 				defer f.end()
 				path, interval := c.path, c.every
 				if path == "" {
@@ -389,12 +391,12 @@
 					interval = every
 				}
 				for _, s := range f.leavingTargets {
-					s.setHandler(c.answers)
+					s.setHandler(c.handler)
 				}
 				s := f.leavingTargets[0]
 				f.sendLoad(f.allInstances(), path, interval, time.Second)
 				if s.requestsExceptFrom("") == 0 {
-					t.Error("the target was not used")
+					t.Error("the target received no requests before it left")
 				}
 				s.startLeaving()
 				if c.before != nil {
@@ -406,7 +408,7 @@
 				}
 				f.sendLoad(f.allInstances(), path, interval, 3*leavingBound)
 				if lateSenders := s.lateSenders(leavingBound, true); len(lateSenders) > 0 {
-					t.Errorf("requests were sent to it after it had said that it leaves: %v", lateSenders)
+					t.Errorf("requests sent too late after the first leaving notice: %v", lateSenders)
 				}
 				if n := f.failures(); n > 0 && !c.failures {
 					t.Errorf("%d requests were not served", n)
@@ -416,39 +418,40 @@
 	}
 }
 
-// TestLeavingByPeerReport guards against requests to a target that has said that it leaves to another instance only.
+// TestLeavingByPeerReport guards against requests to a target that has announced that it leaves to another
+// instance only.
 func TestLeavingByPeerReport(t *testing.T) {
 	startWithoutStore := func(f *leavingFleet) { f.storeClients[f.addInstance()].setSilent(true) }
 	cases := []struct {
-		name   string
-		n      int
-		unborn bool                  // starts are not told
-		more   func(f *leavingFleet) // instances that start after the word
+		name    string
+		n       int
+		noStart bool                  // entries have no start times
+		add     func(f *leavingFleet) // starts instances after the notice
 	}{
 		{"a small fleet", 3, false, nil},
 		{"a large fleet", 40, false, nil},
-		{"starts are not told", 40, true, nil},
-		{"an instance starts, and the store answers it", 3, false, func(f *leavingFleet) {
+		{"no start times", 40, true, nil},
+		{"an instance starts, and the store is reachable", 3, false, func(f *leavingFleet) {
 			f.silenceStore(false)
 			f.addInstance()
 		}},
-		{"an instance starts, and only peers can tell it", 3, false, startWithoutStore},
-		{"an instance starts, only peers can tell it, and starts are not told", 3, true, startWithoutStore},
+		{"an instance starts and learns from peers only", 3, false, startWithoutStore},
+		{"an instance starts and learns from peers only, no start times", 3, true, startWithoutStore},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				f := newFleetWithoutStartTimes(t, c.n, 3, c.unborn)
+				f := newLeavingFleetWith(t, c.n, 3, c.noStart)
 				defer f.end()
 				f.silenceStore(true)
 				f.leavingTargets[0].startLeaving()
 				f.sendLoad([]int{0}, pathSafe, 10*time.Millisecond, time.Second)
 				is.True(f.leavingTargets[0].requestsExceptFrom("") > 0)
-				if c.more != nil {
-					c.more(f)
-					time.Sleep(2 * time.Second) // it knows the targets
+				if c.add != nil {
+					c.add(f)
+					time.Sleep(2 * time.Second) // until it knows the targets
 				}
 				f.sendLoad(f.allInstances(), pathSafe, 5*time.Millisecond, leavingBound)
 				is.Equal(f.leavingTargets[0].requestsExceptFrom("e-000"), 0)
@@ -458,7 +461,8 @@
 	}
 }
 
-// TestLeavingAfterInstanceRestart guards against instances that have just started going on after the first such answer.
+// TestLeavingAfterInstanceRestart guards against restarted instances that continue to send requests to a
+// target after its first leaving notice to them.
 func TestLeavingAfterInstanceRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -474,7 +478,8 @@
 	})
 }
 
-// TestNewIncarnationAfterLeaving guards against a target's next life being left out for what the one before said.
+// TestNewIncarnationAfterLeaving guards against leaving out a target's new incarnation because of the
+// notice of the previous one.
 func TestNewIncarnationAfterLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -494,7 +499,8 @@
 	})
 }
 
-// TestWrongResponseCarriesNotice guards against a target being left out for good by another request's answer.
+// TestWrongResponseCarriesNotice guards against leaving out a target for good because of a notice in the
+// response to another request.
 func TestWrongResponseCarriesNotice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -515,7 +521,8 @@
 	})
 }
 
-// TestLeavingOfAllTargets guards against requests that wait, or run, where all targets have said that they leave.
+// TestLeavingOfAllTargets guards against requests that wait, or are executed, after all targets have
+// announced that they leave.
 func TestLeavingOfAllTargets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -551,7 +558,7 @@
 	})
 }
 
-// TestStreamAtLeavingTarget guards against a stream being cut as its target says that it leaves.
+// TestStreamAtLeavingTarget guards against cutting a stream when its target announces that it leaves.
 func TestStreamAtLeavingTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -571,7 +578,8 @@
 	})
 }
 
-// TestLeavingIsNoCrash guards against the end of a target that said that it leaves being taken for a crash.
+// TestLeavingIsNoCrash guards against taking the end of a target that has announced that it leaves for a
+// crash.
 func TestLeavingIsNoCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -602,7 +610,7 @@
 	})
 }
 
-// leavingEngines are targets whose reports say that they leave.
+// leavingEngines returns reports that say that the target leaves.
 type leavingEngines struct {
 	Engines
 	startedAt int64
@@ -613,7 +621,8 @@
 	return Report{Start: e.startedAt, Models: []catalog.ModelVersion{{Model: "m", Version: 1}}, Notice: Notice{Leaving: true}}, nil
 }
 
-// TestLeavingByOwnReport guards against requests, and loads, for a target whose report says that it leaves.
+// TestLeavingByOwnReport guards against requests to a target whose report says that it leaves, and against
+// loading weights there.
 func TestLeavingByOwnReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -631,7 +640,8 @@
 	})
 }
 
-// TestReportOfAnotherIncarnation guards against a target being left out for what another of its lives reports.
+// TestReportOfAnotherIncarnation guards against leaving out a target because of the report of another of its
+// incarnations.
 func TestReportOfAnotherIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
