--- a/internal/gateway/backoff_end_test.go
+++ b/internal/gateway/backoff_end_test.go
@@ -13,7 +13,7 @@
 	"github.com/shedhoist/shedhoist/internal/catalog"
 )
 
-// twoServicesCodec declares two services: "s" on pathSafe, "other" on pathOnce.
+// twoServicesCodec configures two services: "s" on pathSafe and "other" on pathOnce.
 type twoServicesCodec struct{ backoffCodec }
 
 // DecodeConfig implements Codec.
@@ -30,7 +30,7 @@
 		Customers: []catalog.CustomerKeys{{Customer: catalog.Customer{Name: "one"}, Keys: d.Keys}}}), nil
 }
 
-// newTwoServicesFleet starts an instance before targets of "s" by scripts, and one of "other".
+// newTwoServicesFleet starts an instance, a target of "s" for each script and one target of "other".
 func newTwoServicesFleet(t *testing.T, codec Codec, scripts ...responseScript) *backoffFleet {
 	f := &backoffFleet{trafficFleet: newFleetWith(t, 1, 1, 0, fleetOptions{codec: codec})}
 	for i, s := range append(scripts, serve) {
@@ -46,11 +46,11 @@
 	return f
 }
 
-// TestResumesAfterBackoff guards against a target that stays unused for long after its rest, or after
-// it refused a request, because requests that go to others take its trials.
+// TestResumesAfterBackoff guards against a target that stays unused long after its backoff or refusal,
+// because requests that are sent to other targets use up its half-open probes.
 func TestResumesAfterBackoff(t *testing.T) {
 	const probeDelay = 3 * time.Second
-	for name, backoff := range map[string]time.Duration{"it asked for rest": time.Second, "it did not": 0} {
+	for name, backoff := range map[string]time.Duration{"refusal with backoff": time.Second, "refusal without backoff": 0} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
--- a/internal/gateway/backoff_test.go
+++ b/internal/gateway/backoff_test.go
@@ -23,14 +23,14 @@
 	"github.com/shedhoist/shedhoist/internal/registry"
 )
 
-// Headers of the dialect of targets that ask for rest.
+// Headers of backoffCodec.
 const (
 	backoffHeader            = "Rest-Wanted"
 	backoffNotExecutedHeader = "Not-Run"
 	backoffRetryAfterHeader  = "Retry-After-Seconds"
 )
 
-// backoffCodec is the dialect of targets that ask for rest.
+// backoffCodec is the codec of targets that request backoffs.
 type backoffCodec struct{ trafficCodec }
 
 // DecodeConfig implements Codec.
@@ -52,23 +52,23 @@
 	h.Set(backoffRetryAfterHeader, strconv.FormatFloat(retryAfter.Seconds(), 'f', -1, 64))
 }
 
-// scriptedResponse is how a target answers one request.
+// scriptedResponse is a target's response to one request.
 type scriptedResponse struct {
 	status       int
 	notExecuted  bool
-	backoff      time.Duration // asked for; 0: none
+	backoff      time.Duration // requested; 0: none
 	duration     time.Duration
-	breaksStream bool // a stream that breaks behind its first event
+	breaksStream bool // breaks the stream after its first event
 }
 
-// responseScript says how a target answers its n-th request, at a time since the play began.
+// responseScript returns a target's response to its n-th request, at a time since the start of the test.
 type responseScript func(since time.Duration, n int, body string) scriptedResponse
 
 func serve(time.Duration, int, string) scriptedResponse {
 	return scriptedResponse{status: http.StatusOK, duration: runTime}
 }
 
-// overloadedUntil turns all away and asks for rest each time, until an end; then it serves.
+// overloadedUntil refuses all requests until end, requesting a backoff each time, and then serves them.
 func overloadedUntil(end, backoff time.Duration) responseScript {
 	return func(since time.Duration, n int, body string) scriptedResponse {
 		if since < end {
@@ -88,12 +88,12 @@
 	}
 }
 
-// backoffPeriod is one wish of a target.
+// backoffPeriod is a period in which a target has requested a backoff.
 type backoffPeriod struct {
 	from, until time.Time
 }
 
-// backoffTarget is a target that answers by a script and notes what reaches it.
+// backoffTarget is a target that responds by a script and records the requests it receives.
 type backoffTarget struct {
 	f      *backoffFleet
 	name   string
@@ -102,11 +102,11 @@
 	mu        sync.Mutex
 	srv       *http.Server
 	startedAt int64
-	received  []time.Time     // in this life
-	backoffs  []backoffPeriod // in this life
+	received  []time.Time     // in this incarnation
+	backoffs  []backoffPeriod // in this incarnation
 }
 
-// start begins a life of the target.
+// start starts a new incarnation of the target.
 func (m *backoffTarget) start() {
 	ln, err := m.f.net.listen(m.name + ":1")
 	if err != nil {
@@ -116,11 +116,11 @@
 	m.mu.Lock()
 	m.srv, m.startedAt, m.received, m.backoffs = srv, time.Now().UnixMilli(), nil, nil
 	m.mu.Unlock()
-	go func() { _ = srv.Serve(ln) }() // it ends with the target
+	go func() { _ = srv.Serve(ln) }() // ends with the target
 	m.writeEntry()
 }
 
-// writeEntry writes the entry of the target's life.
+// writeEntry writes the entry of the current incarnation.
 func (m *backoffTarget) writeEntry() {
 	m.mu.Lock()
 	startedAt := m.startedAt
@@ -128,13 +128,13 @@
 	m.f.store.set(memoryTargets, m.name, catalog.Target{Service: "s", Address: m.name + ":1", Zone: "z0", Start: startedAt})
 }
 
-// stop ends the life.
+// stop ends the current incarnation.
 func (m *backoffTarget) stop() {
 	m.f.closeListeners(m.name + ":1")
 	m.srv.Close()
 }
 
-// countRequest takes note of a request and returns its number in this life.
+// countRequest records a request and returns its number in this incarnation.
 func (m *backoffTarget) countRequest() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -148,14 +148,14 @@
 	m.backoffs = append(m.backoffs, backoffPeriod{from: time.Now(), until: time.Now().Add(d)})
 }
 
-// backoffPeriods are the rests asked for in this life.
+// backoffPeriods returns the backoffs requested in this incarnation.
 func (m *backoffTarget) backoffPeriods() []backoffPeriod {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.backoffs
 }
 
-// countBetween counts the requests of this life that came in a span of time.
+// countBetween counts the requests received in this incarnation between two times.
 func (m *backoffTarget) countBetween(from, to time.Time) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -168,12 +168,12 @@
 	return n
 }
 
-// ServeHTTP answers by the script.
+// ServeHTTP implements http.Handler: it responds by the script.
 func (m *backoffTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	n := m.countRequest()
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // its caller is gone
+		return // the caller is gone
 	}
 	response := m.script(time.Since(m.f.startedAt), n, string(body))
 	time.Sleep(response.duration)
@@ -196,11 +196,11 @@
 	panic(http.ErrAbortHandler)
 }
 
-// backoffFleet is a fleet before targets that ask for rest.
+// backoffFleet is a fleet with targets that request backoffs.
 type backoffFleet struct {
 	*trafficFleet
 	backoffTargets []*backoffTarget
-	startedAt      time.Time // of the play
+	startedAt      time.Time // of the test's traffic
 }
 
 func newBackoffFleet(t *testing.T, n int, scripts ...responseScript) *backoffFleet {
@@ -222,16 +222,16 @@
 	f.stop()
 }
 
-// backoffResponse is what a caller got.
+// backoffResponse is the response that a caller received.
 type backoffResponse struct {
-	status       int // 0: none
+	status       int // 0: no response
 	body         string
 	complete     bool
-	retryAfter   time.Duration // when to come back
-	at, duration time.Duration // at since the play began
+	retryAfter   time.Duration
+	at, duration time.Duration // at: when the request was sent, since backoffFleet.startedAt
 }
 
-// isBackoffRefusal says whether the request was refused by the instance since targets rest.
+// isBackoffRefusal reports whether the instance itself refused the request because targets are in backoff.
 func (a backoffResponse) isBackoffRefusal() bool {
 	return a.status == http.StatusServiceUnavailable && strings.Contains(a.body, `"not-run"`) && strings.Contains(a.body, "asked for rest")
 }
@@ -268,8 +268,8 @@
 	return a
 }
 
-// sendLoad sends requests to the first instance for some time, and returns their answers in the
-// order in which they were sent.
+// sendLoad sends requests to the first instance for some time and returns the responses in the order of
+// the requests.
 func (f *backoffFleet) sendLoad(path string, every, during time.Duration) []backoffResponse {
 	responses := make([]backoffResponse, during/every)
 	var requests sync.WaitGroup
@@ -281,32 +281,32 @@
 	return responses
 }
 
-// grace is how long after a refusal requests may still come, and maxRequestsInBackoff how many in the
-// rest of the time.
+// backoffGrace is how long after a refusal requests may still arrive, and maxRequestsInBackoff how many
+// may arrive in the rest of the backoff.
 const (
 	backoffGrace         = 500 * time.Millisecond
 	maxRequestsInBackoff = 2
 )
 
-// checkBackoffs finds requests that reached targets in the rest that these had asked for: none may.
+// checkBackoffs fails the test if requests reached a target during a backoff that it had requested.
 func (f *backoffFleet) checkBackoffs() {
 	f.t.Helper()
 	for _, m := range f.backoffTargets {
 		violations, maxRequests := 0, 0
 		for _, period := range m.backoffPeriods() {
-			n := m.countBetween(period.from.Add(backoffGrace), period.until)
-			maxRequests = max(maxRequests, n)
-			if n > maxRequestsInBackoff {
+			received := m.countBetween(period.from.Add(backoffGrace), period.until)
+			maxRequests = max(maxRequests, received)
+			if received > maxRequestsInBackoff {
 				violations++
 			}
 		}
 		if maxRequests > 0 {
-			f.t.Errorf("%s asked for rest %d times and got up to %d requests in such a time; %d times more than %d", m.name, len(m.backoffPeriods()), maxRequests, violations, maxRequestsInBackoff)
+			f.t.Errorf("%s requested %d backoffs and received up to %d requests during one, and in %d of them more than %d", m.name, len(m.backoffPeriods()), maxRequests, violations, maxRequestsInBackoff)
 		}
 	}
 }
 
-// count counts the answers for which something holds.
+// count counts the responses for which a condition holds.
 func count(responses []backoffResponse, holds func(a backoffResponse) bool) int {
 	n := 0
 	for _, a := range responses {
@@ -317,7 +317,8 @@
 	return n
 }
 
-// TestRespectsBackoff guards against requests to a target in the rest that it asked the instance for.
+// TestRespectsBackoff guards against requests to a target during a backoff that it has requested of the
+// instance.
 func TestRespectsBackoff(t *testing.T) {
 	const (
 		every = 20 * time.Millisecond
@@ -327,19 +328,19 @@
 	cases := []struct {
 		name    string
 		scripts []responseScript
-		play    func(is *is.I, f *backoffFleet)
+		run     func(is *is.I, f *backoffFleet)
 	}{
-		{"the others fail at times", []responseScript{overloadedUntil(7*time.Second, 3*time.Second), failEvery(3), failEvery(3)}, func(is *is.I, f *backoffFleet) {
+		{"the other targets fail at times", []responseScript{overloadedUntil(7*time.Second, 3*time.Second), failEvery(3), failEvery(3)}, func(is *is.I, f *backoffFleet) {
 			f.sendLoad(pathSafe, every, 8*time.Second)
 		}},
-		{"the other one fails always", []responseScript{overloadedUntil(7*time.Second, 3*time.Second), failEvery(1)}, func(is *is.I, f *backoffFleet) {
+		{"the other target always fails", []responseScript{overloadedUntil(7*time.Second, 3*time.Second), failEvery(1)}, func(is *is.I, f *backoffFleet) {
 			for _, a := range f.sendLoad(pathSafe, every, 6*time.Second) {
 				if a.at > 200*time.Millisecond && a.at < 2900*time.Millisecond {
-					is.Equal(a.status, http.StatusInternalServerError) // the target's own failure, not ours
+					is.Equal(a.status, http.StatusInternalServerError) // the target's failure, not a refusal by the instance
 				}
 			}
 		}},
-		{"a success was under way", []responseScript{func(since time.Duration, n int, body string) scriptedResponse {
+		{"a successful request in flight", []responseScript{func(since time.Duration, n int, body string) scriptedResponse {
 			if body == "slow" {
 				return scriptedResponse{status: http.StatusOK, duration: slow}
 			}
@@ -356,10 +357,10 @@
 				requests.Go(func() { f.send(0, pathSafe, "x") })
 				time.Sleep(every / 4)
 			}
-			responses := f.sendLoad(pathSafe, every/10, 2*time.Second) // one target is too few for these
+			responses := f.sendLoad(pathSafe, every/10, 2*time.Second) // too many for a single target
 			is.Equal(count(responses, isOK), len(responses))
 		}},
-		{"a shorter rest after a longer one", []responseScript{func(since time.Duration, n int, body string) scriptedResponse {
+		{"a shorter backoff after a longer one", []responseScript{func(since time.Duration, n int, body string) scriptedResponse {
 			switch n {
 			case 1:
 				return scriptedResponse{status: http.StatusServiceUnavailable, notExecuted: true, backoff: 4 * time.Second, duration: 50 * time.Millisecond}
@@ -372,25 +373,25 @@
 			is.Equal(len(f.backoffTargets[0].backoffPeriods()), 2)
 			f.sendLoad(pathSafe, every, 5*time.Second)
 		}},
-		{"all targets ask", []responseScript{overloadedUntil(4*time.Second, 2*time.Second), overloadedUntil(4*time.Second, 2*time.Second), overloadedUntil(4*time.Second, 2*time.Second)}, func(is *is.I, f *backoffFleet) {
+		{"backoff of all targets", []responseScript{overloadedUntil(4*time.Second, 2*time.Second), overloadedUntil(4*time.Second, 2*time.Second), overloadedUntil(4*time.Second, 2*time.Second)}, func(is *is.I, f *backoffFleet) {
 			responses := f.sendLoad(pathSafe, every, 8*time.Second)
 			for _, a := range responses {
 				if a.at < 200*time.Millisecond || a.at > 1900*time.Millisecond {
 					continue
 				}
 				is.True(a.isBackoffRefusal())
-				is.True(a.duration < 50*time.Millisecond) // nothing is held
+				is.True(a.duration < 50*time.Millisecond) // no request waits
 				is.True(a.retryAfter >= retryAfterShort)
 				is.True(a.retryAfter <= 1500*time.Millisecond)
 			}
 			is.Equal(count(responses[len(responses)-50:], isOK), 50)
 		}},
-		{"the only target", []responseScript{overloadedUntil(time.Second, 2*time.Second)}, func(is *is.I, f *backoffFleet) {
+		{"backoff of the only target", []responseScript{overloadedUntil(time.Second, 2*time.Second)}, func(is *is.I, f *backoffFleet) {
 			responses := f.sendLoad(pathSafe, every, 4*time.Second)
 			is.True(count(responses, backoffResponse.isBackoffRefusal) > 80)
 			is.Equal(count(responses[len(responses)-50:], isOK), 50)
 		}},
-		{"the target starts again", []responseScript{overloadedUntil(500*time.Millisecond, 20*time.Second)}, func(is *is.I, f *backoffFleet) {
+		{"the target restarts", []responseScript{overloadedUntil(500*time.Millisecond, 20*time.Second)}, func(is *is.I, f *backoffFleet) {
 			f.send(0, pathSafe, "x")
 			f.checkBackoffs()
 			f.backoffTargets[0].stop()
@@ -398,17 +399,17 @@
 			f.backoffTargets[0].start()
 			time.Sleep(time.Second)
 			responses := f.sendLoad(pathSafe, every, time.Second)
-			is.Equal(count(responses, isOK), len(responses)) // what another life asked for is no wish of this one
+			is.Equal(count(responses, isOK), len(responses)) // the backoff of the previous incarnation doesn't apply
 		}},
-		{"streams that break", []responseScript{func(time.Duration, int, string) scriptedResponse {
+		{"broken streams", []responseScript{func(time.Duration, int, string) scriptedResponse {
 			return scriptedResponse{status: http.StatusOK, duration: runTime, breaksStream: true}
 		}, overloadedUntil(5*time.Second, 3*time.Second)}, func(is *is.I, f *backoffFleet) {
 			f.sendLoad(pathStream, every, 4*time.Second)
 		}},
-		{"requests that may run once", []responseScript{overloadedUntil(4*time.Second, 2*time.Second), failEvery(2)}, func(is *is.I, f *backoffFleet) {
+		{"at-most-once requests", []responseScript{overloadedUntil(4*time.Second, 2*time.Second), failEvery(2)}, func(is *is.I, f *backoffFleet) {
 			f.sendLoad(pathOnce, every, 4*time.Second)
 		}},
-		{"a request that may run once has run", []responseScript{func(since time.Duration, n int, body string) scriptedResponse {
+		{"an at-most-once request was executed", []responseScript{func(since time.Duration, n int, body string) scriptedResponse {
 			if n == 1 {
 				return scriptedResponse{status: http.StatusServiceUnavailable, backoff: 2 * time.Second}
 			}
@@ -421,16 +422,16 @@
 			is.True(count(responses, backoffResponse.isBackoffRefusal) > 90)
 			is.Equal(count(responses[len(responses)-40:], isOK), 40)
 		}},
-		{"the rest is over", []responseScript{overloadedUntil(time.Second, 2*time.Second), serve, serve}, func(is *is.I, f *backoffFleet) {
+		{"the backoff ends", []responseScript{overloadedUntil(time.Second, 2*time.Second), serve, serve}, func(is *is.I, f *backoffFleet) {
 			responses := f.sendLoad(pathSafe, 10*time.Millisecond, 8*time.Second)
 			is.Equal(count(responses[20:], isOK), len(responses)-20)
 			periods := f.backoffTargets[0].backoffPeriods()
 			is.True(len(periods) > 0)
 			end := periods[len(periods)-1].until
-			is.True(f.backoffTargets[0].countBetween(end, end.Add(runTime)) <= 2)           // few at first
-			is.True(f.backoffTargets[0].countBetween(end, end.Add(4*time.Second)) > 400/10) // then as before
+			is.True(f.backoffTargets[0].countBetween(end, end.Add(runTime)) <= 2)           // half-open probes only
+			is.True(f.backoffTargets[0].countBetween(end, end.Add(4*time.Second)) > 400/10) // then its full share
 		}},
-		{"the target's entry vanishes and comes back", []responseScript{func(since time.Duration, n int, body string) scriptedResponse {
+		{"the target's entry is removed and written again", []responseScript{func(since time.Duration, n int, body string) scriptedResponse {
 			if n == 1 {
 				return scriptedResponse{status: http.StatusServiceUnavailable, notExecuted: true, backoff: time.Minute}
 			}
@@ -441,7 +442,7 @@
 				f.send(0, pathSafe, "x")
 			}
 			f.store.remove(memoryTargets, f.backoffTargets[0].name)
-			time.Sleep(30 * time.Second) // all that forgets targets which are gone has run
+			time.Sleep(30 * time.Second) // state of removed targets has been dropped
 			f.backoffTargets[0].writeEntry()
 			time.Sleep(time.Second)
 			responses := f.sendLoad(pathSafe, every, 5*time.Second)
@@ -455,20 +456,20 @@
 				f := newBackoffFleet(t, 1, c.scripts...)
 				defer f.end()
 				defer f.checkBackoffs()
-				c.play(is.New(t), f)
+				c.run(is.New(t), f)
 			})
 		})
 	}
 }
 
-// receivedAll are the times at which requests came in this life.
+// receivedAll returns the times at which requests were received in this incarnation.
 func (m *backoffTarget) receivedAll() []time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.received
 }
 
-// TestRefusalWithoutBackoff guards against a rest that no target asked for when it turned requests away.
+// TestRefusalWithoutBackoff guards against treating a refusal that requests no backoff as a backoff.
 func TestRefusalWithoutBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -479,11 +480,12 @@
 		f.sendLoad(pathSafe, 20*time.Millisecond, 3*time.Second)
 		attempts := len(f.backoffTargets[0].receivedAll())
 		is.True(attempts >= 5)
-		is.True(attempts <= 20) // at most one in 150 ms
+		is.True(attempts <= 20) // at most one per 150 ms
 	})
 }
 
-// TestRequestedBackoffIsPerInstance guards against a rest given by those not asked for it, and not by the one that was.
+// TestRequestedBackoffIsPerInstance guards against a backoff that is applied by an instance of which it
+// was not requested, or ignored by the one of which it was.
 func TestRequestedBackoffIsPerInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -501,7 +503,7 @@
 	})
 }
 
-// refusingEngines refuse reports and ask for rest.
+// refusingEngines refuses report calls and requests a backoff.
 type refusingEngines struct {
 	Engines
 	backoff time.Duration
@@ -512,7 +514,8 @@
 	return Report{}, &CallError{Call: "report", Status: http.StatusServiceUnavailable, Notice: Notice{Backoff: e.backoff}}
 }
 
-// TestReportRequestsBackoff guards against requests to a target that refused a report and asked for rest then.
+// TestReportRequestsBackoff guards against requests to a target that has requested a backoff when it
+// refused a report call.
 func TestReportRequestsBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -531,7 +534,8 @@
 	})
 }
 
-// TestRequestedBackoffOfMostTargets guards against a refusal while a few targets of many, not the first considered, ask for no rest.
+// TestRequestedBackoffOfMostTargets guards against refusing requests while all candidates of the first
+// selection are in backoff, but a few of the many other targets are not.
 func TestRequestedBackoffOfMostTargets(t *testing.T) {
 	const targets, others = 4 * maxCandidates, 2
 	for status, script := range map[int]responseScript{http.StatusOK: serve, http.StatusInternalServerError: failEvery(1)} {
@@ -547,7 +551,7 @@
 					}
 				}
 				is.Equal(remaining, 0)
-				f.sendLoad(pathSafe, 20*time.Millisecond, 10*time.Second) // all that are asked first have asked for rest
+				f.sendLoad(pathSafe, 20*time.Millisecond, 10*time.Second) // puts all candidates of the first selection in backoff
 				responses := f.sendLoad(pathSafe, 50*time.Millisecond, 5*time.Second)
 				matching := count(responses, func(a backoffResponse) bool { return a.status == status })
 				is.Equal(matching, len(responses))
@@ -557,13 +561,14 @@
 	}
 }
 
-// isCandidate says whether a target is among those that the first instance considers for a
-// request before it looks at all.
+// isCandidate reports whether a target is among the candidates that the first instance considers before
+// it widens the selection to all targets.
 func (f *backoffFleet) isCandidate(name string) bool {
 	return slices.ContainsFunc(f.gateways[0].view.Load().Candidates["s"], func(t *catalog.Target) bool { return t.Name == name })
 }
 
-// TestRequestedBackoffIsLogged guards against a log that says nothing of a wish for rest, or a line for each refusal.
+// TestRequestedBackoffIsLogged guards against requested backoffs that are not logged, and against a log
+// line for every refusal.
 func TestRequestedBackoffIsLogged(t *testing.T) {
 	is := is.New(t)
 	now, lines := time.Unix(0, 0), memory.New()
@@ -577,9 +582,9 @@
 	is.Equal(len(lines.Entries), 2) // the first, and one 300 ms later
 	is.Equal(lines.Entries[0].Fields, log.Fields{"target": "t@1", "rest_ms": int64(3000), "until": "1970-01-01T00:00:03Z", "from": "answer", "by": "r"})
 	g.applyNotice(target, Notice{Backoff: time.Millisecond}, registry.Source{Channel: string(fromAnswer), Reporter: "r"})
-	is.Equal(len(lines.Entries), 2) // it changes nothing
+	is.Equal(len(lines.Entries), 2) // the end of the backoff doesn't change
 	now = now.Add(time.Minute)
 	g.applyNotice(target, Notice{Backoff: time.Millisecond}, registry.Source{Channel: string(fromReport)})
-	is.Equal(len(lines.Entries), 3) // a new one, however short
+	is.Equal(len(lines.Entries), 3) // a new backoff is logged, however short
 	is.Equal(lines.Entries[2].Fields.Get("from"), "report")
 }
