--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -22,18 +22,18 @@
 	"github.com/shedhoist/shedhoist/internal/platform"
 )
 
-// A fleet of whole instances in one process, for tests under a fake clock: instances
-// exchange messages over a network in memory and share an object store in memory, so that
-// times are exact and no machine is too slow.
+// A fleet of complete instances in one process, for tests with a fake clock. The instances exchange
+// messages over an in-memory network and share an in-memory object store, so that times are exact and
+// don't depend on the speed of the machine.
 
-// memoryNetwork connects listeners by their addresses.
+// memoryNetwork is an in-memory network of listeners, by address.
 type memoryNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*memoryListener
-	isolated  map[string]bool // hosts that nothing gets through to or from
+	isolated  map[string]bool // hosts that can't be reached and reach nobody
 }
 
-// setIsolated cuts a host off, or lets it back.
+// setIsolated isolates a host from the network, or reconnects it.
 func (n *memoryNetwork) setIsolated(host string, isolated bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -49,7 +49,7 @@
 	return !n.isolated[hosts[0]] && !n.isolated[hosts[1]]
 }
 
-// dialFrom opens connections from a host.
+// dialFrom returns a dialer for connections from a host.
 func (n *memoryNetwork) dialFrom(host string) peer.Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		to, _, err := net.SplitHostPort(address)
@@ -65,7 +65,7 @@
 	}
 }
 
-// networkDelay is how long a message takes from one instance to another.
+// networkDelay is the time that a message takes from one host to another.
 const networkDelay = 2 * time.Millisecond
 
 func (n *memoryNetwork) listen(address string) (net.Listener, error) {
@@ -83,16 +83,16 @@
 	if ln == nil {
 		return nil, syscall.ECONNREFUSED
 	}
-	here, there := net.Pipe()
-	far := n.newConn(there, hosts)
+	local, remote := net.Pipe()
+	remoteConn := n.newConn(remote, hosts)
 	select {
-	case ln.conns <- far:
-		return n.newConn(here, hosts), nil
+	case ln.conns <- remoteConn:
+		return n.newConn(local, hosts), nil
 	case <-ln.closed:
-		far.Close()
+		remoteConn.Close()
 		return nil, syscall.ECONNREFUSED
 	case <-ctx.Done():
-		far.Close()
+		remoteConn.Close()
 		return nil, ctx.Err()
 	}
 }
@@ -131,15 +131,14 @@
 // String implements net.Addr.
 func (a memoryAddr) String() string { return string(a) }
 
-// memoryConn buffers what is written, and delivers it a hop later, also what was written
-// before it was closed.
+// memoryConn buffers writes and delivers each after networkDelay, including those made before Close.
 type memoryConn struct {
 	net.Conn
 	network *memoryNetwork
 	hosts   [2]string
 	once    sync.Once
 	closed  chan struct{}
-	written chan struct{} // something waits to be delivered
+	written chan struct{} // signals that writes are pending
 
 	mu      sync.Mutex
 	pending [][]byte
@@ -166,7 +165,7 @@
 	}
 }
 
-// deliverAll delivers what waits, one write a hop; false: the other end is gone.
+// deliverAll delivers the pending writes, one per networkDelay. It returns false if the other end is closed.
 func (m *memoryConn) deliverAll() bool {
 	for {
 		p, ok := m.next()
@@ -179,7 +178,7 @@
 	}
 }
 
-// next takes the write that waits longest.
+// next removes the oldest pending write and returns it.
 func (m *memoryConn) next() (p []byte, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -211,7 +210,7 @@
 	m.mu.Unlock()
 	select {
 	case m.written <- struct{}{}:
-	default: // the pump knows already
+	default: // already signalled
 	}
 	return len(p), nil
 }
@@ -220,13 +219,13 @@
 func (m *memoryConn) Close() error {
 	m.once.Do(func() {
 		close(m.closed)
-		_ = m.Conn.SetReadDeadline(time.Unix(1, 0))                   // whoever reads ends; what was written goes out,
-		_ = m.Conn.SetWriteDeadline(time.Now().Add(shutdownWait / 2)) // if the other end reads: it may have closed too
+		_ = m.Conn.SetReadDeadline(time.Unix(1, 0))                   // ends pending reads; pending writes are still delivered,
+		_ = m.Conn.SetWriteDeadline(time.Now().Add(shutdownWait / 2)) // but not forever: the other end may have stopped reading
 	})
 	return nil
 }
 
-// memoryStore is an object store.
+// memoryStore is an in-memory object store.
 type memoryStore struct {
 	mu          sync.Mutex
 	revision    platform.Version
@@ -246,7 +245,7 @@
 	return &memoryStore{objects: map[string]map[string]platform.NamedObject{}, changed: make(chan struct{})}
 }
 
-// set writes an object, as operators and targets do.
+// set writes an object unconditionally, as operators and targets do.
 func (s *memoryStore) set(kind, name string, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -268,7 +267,7 @@
 	return s.revision
 }
 
-// notify notes a change and wakes those that wait for one.
+// notify appends a change to the history and wakes the pending watches.
 func (s *memoryStore) notify(c memoryChange) {
 	s.history = append(s.history, c)
 	close(s.changed)
@@ -286,26 +285,26 @@
 	s.notify(memoryChange{kind: kind, NamedObject: o, deleted: true})
 }
 
-// truncateHistory drops the history so far.
+// truncateHistory drops the history up to now.
 func (s *memoryStore) truncateHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history, s.truncatedAt = nil, s.revision
 }
 
-// Times of a call to the store, and of one that is not answered, as the client of the
-// object store bounds them.
+// Duration of a call to the store, and the timeouts of calls that get no response, as in the client of
+// the object store.
 const (
 	storeLatency       = 4 * time.Millisecond
 	storeCallTimeout   = 2 * time.Second
-	watchTimeoutMargin = 600 * time.Millisecond // beyond what the watch may wait
+	watchTimeoutMargin = 600 * time.Millisecond // on top of the wait time of the watch
 )
 
-// storeClient is one instance's way to the store.
+// storeClient is the store client of one instance.
 type storeClient struct {
 	store  *memoryStore
 	mu     sync.Mutex
-	silent bool // it answers nothing
+	silent bool // calls get no response
 	calls  int
 }
 
@@ -321,7 +320,7 @@
 	return d.calls
 }
 
-// awaitResponse lets one call through, or fails it after the time that its client bears.
+// awaitResponse waits until a call is answered, or fails it after the timeout if the client is silent.
 func (d *storeClient) awaitResponse(ctx context.Context, op, key string, timeout time.Duration) error {
 	d.mu.Lock()
 	silent := d.silent
@@ -356,8 +355,8 @@
 	return out, nil
 }
 
-// Watch implements platform.Kinds. A door that is shut while a watch waits swallows its
-// answer.
+// Watch implements platform.Kinds. If the client becomes silent while the watch waits, the response is
+// lost.
 func (d *storeClient) Watch(ctx context.Context, kind string, after platform.Version, wait time.Duration) (platform.Changes, error) {
 	began, end := time.Now(), time.After(wait)
 	if err := d.awaitResponse(ctx, "watch", kind, wait+watchTimeoutMargin); err != nil {
@@ -425,10 +424,10 @@
 	return d.store.write(kind, name, value), nil
 }
 
-// jsonCodec is the dialect of the store in memory.
+// jsonCodec is the codec of the in-memory store.
 type jsonCodec struct{ Codec }
 
-// Kinds of the store in memory.
+// Kinds of objects in the in-memory store, and the name of the configuration.
 const (
 	memoryConfigs  = "configs"
 	memoryTargets  = "targets"
@@ -436,7 +435,7 @@
 	memoryConfig   = "main"
 )
 
-// storedConfig is a configuration as stored.
+// storedConfig is the stored form of a configuration.
 type storedConfig struct {
 	Version uint64
 	Keys    []string
@@ -480,7 +479,7 @@
 // ProblemHeader implements Codec.
 func (jsonCodec) ProblemHeader(http.Header, string, time.Duration) {}
 
-// memoryFleet is some instances and their store.
+// memoryFleet is a set of instances with their network and object store.
 type memoryFleet struct {
 	t            *testing.T
 	net          *memoryNetwork
@@ -489,7 +488,7 @@
 	storeClients []*storeClient
 }
 
-// newMemoryFleet starts a fleet over some zones, in which all know of all.
+// newMemoryFleet starts n instances, spread over the zones, and waits until they all know one another.
 func newMemoryFleet(t *testing.T, n, zones int) *memoryFleet {
 	f := &memoryFleet{t: t, net: &memoryNetwork{listeners: map[string]*memoryListener{}}, store: newMemoryStore()}
 	f.store.set(memoryConfigs, memoryConfig, storedConfig{Version: 1, Keys: []string{"key"}})
@@ -500,11 +499,11 @@
 	for f.readyCount() < n {
 		time.Sleep(100 * time.Millisecond)
 	}
-	time.Sleep(5 * time.Second) // what was begun at the start has ended
+	time.Sleep(5 * time.Second) // lets the work of startup end
 	return f
 }
 
-// add starts one more instance.
+// add starts another instance.
 func (f *memoryFleet) add(name, zone string) {
 	set := (&Settings{Name: name, Zone: zone, CallerListen: name + ":1", ReadyListen: name + ":2", PeerListen: name + ":3",
 		Seeds: []string{"e-000:3", "e-001:3", "e-002:3"}, PlatformAddress: "store:1"}).WithDefaults()
@@ -517,7 +516,7 @@
 	f.gateways, f.storeClients = append(f.gateways, g), append(f.storeClients, d)
 }
 
-// readyCount is how many instances know all and are ready.
+// readyCount returns how many instances are ready and know all others as alive.
 func (f *memoryFleet) readyCount() int {
 	n := 0
 	for _, g := range f.gateways {
@@ -528,10 +527,10 @@
 	return n
 }
 
-// shutdownWait is longer than anything that is under way at the end of an instance.
+// shutdownWait is longer than any operation that is still running when an instance ends.
 const shutdownWait = time.Minute
 
-// stop ends all instances, and returns once all that they began has ended.
+// stop kills all instances and returns when all that they started has ended.
 func (f *memoryFleet) stop() {
 	for _, g := range f.gateways {
 		g.Kill()
@@ -542,7 +541,7 @@
 	time.Sleep(shutdownWait)
 }
 
-// dialCaller opens a connection of a caller to an instance.
+// dialCaller opens a caller's connection to an instance.
 func (f *memoryFleet) dialCaller(i int) net.Conn {
 	conn, err := f.net.dialFrom("caller")(f.t.Context(), "memory", f.gateways[i].CallerAddr())
 	if err != nil {
@@ -552,7 +551,7 @@
 	return conn
 }
 
-// indexesByRank are the indexes of the instances by their rank for a role.
+// indexesByRank returns the indexes of the instances, ordered by their rank for a role.
 func (f *memoryFleet) indexesByRank(role string) []int {
 	var names []string
 	for _, m := range f.gateways[0].view.Load().Peers {
