--- a/internal/gateway/evacuations_test.go
+++ b/internal/gateway/evacuations_test.go
@@ -136,11 +136,11 @@
 		{"no other fault", 9, maxEvacuationTime, nil, nil},
 		{"a large fleet", 60, maxEvacuationTime, nil, nil},
 		{"the store stops responding after it has answered the watches", 60, maxEvacuationTimeDegraded, nil, func(f *evacuatedFleet) {
-			time.Sleep(2 * memoryAnswer)
+			time.Sleep(2 * storeLatency)
 			f.silenceStore(true)
 		}},
 		{"the store does not respond to a third of the instances, including the watchers", 60, maxEvacuationTimeDegraded, func(f *evacuatedFleet) {
-			for _, i := range f.byRank(watcherRole)[:20] {
+			for _, i := range f.indexesByRank(watcherRole)[:20] {
 				f.storeClients[i].setSilent(true)
 			}
 		}, nil},
--- a/internal/gateway/leaving_incarnations_test.go
+++ b/internal/gateway/leaving_incarnations_test.go
@@ -15,20 +15,20 @@
 	"github.com/shedhoist/shedhoist/internal/registry"
 )
 
-// TestWhenNoticePrecedesEntry guards against the word of a life whose entry had not come yet being lost
-// when that comes, and against a life that has said nothing being left out for the one before.
+// TestWhenNoticePrecedesEntry guards against losing the notice of a new incarnation when its entry arrives
+// after the notice, and against leaving out an incarnation without a notice because of the previous one.
 func TestWhenNoticePrecedesEntry(t *testing.T) {
 	cases := []struct {
 		name        string
-		before, new bool          // what the life before says, and the new one
-		wait        time.Duration // between the ends of requests and the life before, and from there to the new one
-		lapses      bool          // the entry lapses before the new one is written
+		before, new bool          // whether the previous and the new incarnation announce that they leave
+		wait        time.Duration // from the last request to the end of the previous incarnation, and from there to the new one
+		expires     bool          // the entry expires before the new one is written
 	}{
-		{name: "the new life says it", new: true, wait: 100 * time.Millisecond},
-		{name: "the new life says it, and the entry lapsed", new: true, wait: 100 * time.Millisecond, lapses: true},
-		{name: "the life before said it", before: true, wait: 100 * time.Millisecond},
-		{name: "the life before said it, and the entry lapsed", before: true, wait: time.Second, lapses: true},
-		{name: "nobody says it", wait: 100 * time.Millisecond},
+		{name: "notice of the new incarnation", new: true, wait: 100 * time.Millisecond},
+		{name: "notice of the new incarnation, and the entry expired", new: true, wait: 100 * time.Millisecond, expires: true},
+		{name: "notice of the previous incarnation", before: true, wait: 100 * time.Millisecond},
+		{name: "notice of the previous incarnation, and the entry expired", before: true, wait: time.Second, expires: true},
+		{name: "no notice", wait: 100 * time.Millisecond},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -42,32 +42,32 @@
 				if c.before {
 					s.startLeaving()
 				}
-				f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
-				is.True(s.arrived("") > 0)
+				f.sendLoad(f.allInstances(), pathSafe, 5*time.Millisecond, time.Second)
+				is.True(s.requestsExceptFrom("") > 0)
 				time.Sleep(c.wait)
 				s.stop()
 				time.Sleep(c.wait)
-				if c.lapses {
+				if c.expires {
 					f.store.remove(memoryTargets, s.name)
 				}
 				s.start()
 				if c.new {
 					s.startLeaving()
 				}
-				f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, 2*time.Second)
+				f.sendLoad(f.allInstances(), pathSafe, 5*time.Millisecond, 2*time.Second)
 				s.mu.Lock()
 				is.Equal(len(s.firstLeavingResponse) > 0, c.new)
 				s.mu.Unlock()
 				f.silenceStore(false)
-				f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, 3*leavingBound)
-				if late := s.late(leavingBound, true); len(late) > 0 {
-					t.Errorf("requests were sent to it after it had said that it leaves: %v", late)
+				f.sendLoad(f.allInstances(), pathSafe, 5*time.Millisecond, 3*leavingBound)
+				if lateSenders := s.lateSenders(leavingBound, true); len(lateSenders) > 0 {
+					t.Errorf("requests sent too late after the first leaving notice: %v", lateSenders)
 				}
 				if !c.new {
 					s.resetCounts()
-					f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
+					f.sendLoad(f.allInstances(), pathSafe, 5*time.Millisecond, time.Second)
 					for _, g := range f.gateways {
-						is.True(s.from(g.settings().Name) > 0)
+						is.True(s.requestsFrom(g.settings().Name) > 0)
 					}
 				}
 			})
@@ -75,28 +75,28 @@
 	}
 }
 
-// TestRequestedBackoffBeforeEntry guards against the rest that a life asked for before its entry came being
-// cut short when that comes, and against one that the life before asked for.
+// TestRequestedBackoffBeforeEntry guards against ending the backoff of a new incarnation early when its
+// entry arrives, and against applying the backoff of the previous incarnation to the new one.
 func TestRequestedBackoffBeforeEntry(t *testing.T) {
 	const (
-		every = 20 * time.Millisecond
-		rest  = 20 * time.Second
+		every   = 20 * time.Millisecond
+		backoff = 20 * time.Second
 	)
-	asks := func(time.Duration, int, string) scriptedResponse {
-		return scriptedResponse{status: http.StatusServiceUnavailable, notExecuted: true, backoff: rest}
+	requestBackoff := func(time.Duration, int, string) scriptedResponse {
+		return scriptedResponse{status: http.StatusServiceUnavailable, notExecuted: true, backoff: backoff}
 	}
-	for name, scripts := range map[string][2]responseScript{ // of the life before, and of the new one
-		"the new life asks for it":     {served, asks},
-		"the life before asked for it": {asks, served},
+	for name, scripts := range map[string][2]responseScript{ // of the previous incarnation, and of the new one
+		"requested by the new incarnation":      {serve, requestBackoff},
+		"requested by the previous incarnation": {requestBackoff, serve},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				f := newBackoffFleet(t, 1, scripts[0], served)
+				f := newBackoffFleet(t, 1, scripts[0], serve)
 				defer f.end()
 				f.silenceStore(true)
-				m := f.loadGenerators[0]
+				m := f.backoffTargets[0]
 				f.sendLoad(pathSafe, every, time.Second)
 				is.True(len(m.receivedAll()) > 0)
 				time.Sleep(100 * time.Millisecond)
@@ -106,38 +106,38 @@
 				m.start()
 				f.sendLoad(pathSafe, every, 2*time.Second)
 				f.silenceStore(false)
-				f.sendLoad(pathSafe, every, rest/2)
-				f.check()
+				f.sendLoad(pathSafe, every, backoff/2)
+				f.checkBackoffs()
 				if len(m.backoffPeriods()) == 0 {
-					is.True(len(m.receivedAll()) > 50) // it is used as before
+					is.True(len(m.receivedAll()) > 50) // the new incarnation is used normally
 				}
 			})
 		})
 	}
 }
 
-// TestRequestedBackoffOfRespondingIncarnation guards against a rest being noted of a life that is over where its
-// next one, which has just been listed, gave the answer.
+// TestRequestedBackoffOfRespondingIncarnation guards against applying a backoff to the incarnation that the
+// request was addressed to if a later one, which has just been listed, gave the response.
 func TestRequestedBackoffOfRespondingIncarnation(t *testing.T) {
-	const before, next = 10_000, 20_000 // starts, Unix ms
+	const before, next = 10_000, 20_000 // start times, Unix ms
 	for sent, want := range map[int64]string{15_000: "i-1@10000", 25_000: "i-1@20000"} {
 		is := is.New(t)
 		clock := func() time.Time { return time.UnixMilli(30_000) }
 		g := &Gateway{now: clock, breaker: breaker.New(clock), log: &log.Logger{Handler: discard.Default}}
-		meant := catalog.Target{Name: "i-1", Start: before}.WithID()
+		addressed := catalog.Target{Name: "i-1", Start: before}.WithID()
 		listed := catalog.Target{Name: "i-1", Start: next}.WithID()
 		g.view.Store(&View{Targets: map[string]*catalog.Target{listed.ID: &listed}})
-		g.applyNotice(&meant, Notice{Backoff: time.Second}, registry.Source{Channel: string(fromAnswer), RequestSent: time.UnixMilli(sent)})
+		g.applyNotice(&addressed, Notice{Backoff: time.Second}, registry.Source{Channel: string(fromAnswer), RequestSent: time.UnixMilli(sent)})
 		is.Equal(g.breaker.Backoffs(), map[string]time.Time{want: time.UnixMilli(31_000)})
 	}
 }
 
-// TestOwnNoticeAfterInherited guards against a life's own word that it leaves being taken for the one it
-// has inherited, which ends by itself.
+// TestOwnNoticeAfterInherited guards against taking an incarnation's own leaving notice for the one that it
+// has inherited, which expires.
 func TestOwnNoticeAfterInherited(t *testing.T) {
 	for name, own := range map[string]func(sent time.Time) registry.Source{
 		"in a report": func(time.Time) registry.Source { return registry.Source{Channel: string(fromReport)} },
-		"in an answer": func(sent time.Time) registry.Source {
+		"in a response": func(sent time.Time) registry.Source {
 			return registry.Source{Channel: string(fromAnswer), RequestSent: sent.Add(leavingRefreshInterval / 4)}
 		},
 	} {
@@ -161,16 +161,16 @@
 	}
 }
 
-// TestInheritedBackoffEnds guards against a healthy life that rests for long since clocks have it inherit
-// the rest of the life before.
+// TestInheritedBackoffEnds guards against a healthy incarnation that stays unused for long because it has
+// inherited the backoff of the previous incarnation due to clock differences.
 func TestInheritedBackoffEnds(t *testing.T) {
-	const before, next = 10_000, 20_000 // starts, Unix ms
+	const before, next = 10_000, 20_000 // start times, Unix ms
 	is := is.New(t)
 	clock := func() time.Time { return time.UnixMilli(30_000) }
 	g := &Gateway{now: clock, breaker: breaker.New(clock), log: &log.Logger{Handler: discard.Default}}
-	meant := catalog.Target{Name: "i-1", Start: before}.WithID()
+	addressed := catalog.Target{Name: "i-1", Start: before}.WithID()
 	listed := catalog.Target{Name: "i-1", Start: next}.WithID()
 	g.view.Store(&View{Targets: map[string]*catalog.Target{listed.ID: &listed}})
-	g.applyNotice(&meant, Notice{Backoff: time.Hour}, registry.Source{Channel: string(fromAnswer), RequestSent: time.UnixMilli(25_000)})
+	g.applyNotice(&addressed, Notice{Backoff: time.Hour}, registry.Source{Channel: string(fromAnswer), RequestSent: time.UnixMilli(25_000)})
 	is.Equal(g.breaker.Backoffs(), map[string]time.Time{listed.ID: clock().Add(registry.InheritedNoticeTTL)})
 }
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -18,18 +18,18 @@
 	"github.com/shedhoist/shedhoist/internal/catalog"
 )
 
-// leavingBound is the time after which no request may be sent to a target that has said that it
-// leaves, by an instance that passed such an answer on.
+// leavingBound is the time after a target's first leaving notice until which all instances that have
+// received the notice must have stopped sending it requests.
 const leavingBound = 2 * time.Second
 
-// Headers and paths of the dialect.
+// Headers of leavingCodec and its problem responses.
 const (
 	leavingHeader     = "Leaving"
 	notExecutedHeader = "Not-Run"
 	retryAfterHeader  = "Retry-After"
 )
 
-// leavingCodec is a dialect whose targets say in their answers that they leave.
+// leavingCodec is the codec of targets whose responses carry leaving notices.
 type leavingCodec struct{ trafficCodec }
 
 // DecodeConfig implements Codec.
@@ -49,7 +49,7 @@
 	}
 }
 
-// leavingTarget is a target that says in its answers that it leaves.
+// leavingTarget is a target that announces in its responses that it leaves.
 type leavingTarget struct {
 	f    *leavingFleet
 	name string
@@ -57,15 +57,15 @@
 
 	mu                   sync.Mutex
 	srv                  *http.Server
-	startedAt            int64 // Unix ms of its life's start; 0: its entry does not tell
+	startedAt            int64 // start of its incarnation, Unix ms; 0: not in its entry
 	leaving              bool
-	handler              func(w http.ResponseWriter, r *http.Request, leaves bool) // nil: with its name
-	firstLeavingResponse map[string]time.Time                                      // when it first said so to an instance
-	lastRequestSent      map[string]time.Time                                      // when the last request that came by an instance was sent
-	requestCounts        map[string]int                                            // requests that came by an instance
+	handler              func(w http.ResponseWriter, r *http.Request, leaving bool) // nil: responds with its name
+	firstLeavingResponse map[string]time.Time                                       // time of the first response with a notice, by instance
+	lastRequestSent      map[string]time.Time                                       // when the last request received was sent, by instance
+	requestCounts        map[string]int                                             // requests received, by instance
 }
 
-// start begins a life, with an entry of its own.
+// start starts a new incarnation and writes its entry.
 func (s *leavingTarget) start() {
 	ln, err := s.f.net.listen(s.name + ":1")
 	if err != nil {
@@ -79,11 +79,11 @@
 	}
 	s.firstLeavingResponse, s.lastRequestSent, s.requestCounts = map[string]time.Time{}, map[string]time.Time{}, map[string]int{}
 	s.mu.Unlock()
-	go func() { _ = srv.Serve(ln) }() // it ends with the life
+	go func() { _ = srv.Serve(ln) }() // ends with the incarnation
 	s.writeEntry(false)
 }
 
-// stop ends the life; its address refuses connections.
+// stop ends the incarnation; its address refuses connections from then on.
 func (s *leavingTarget) stop() {
 	s.f.closeListeners(s.name + ":1")
 	s.mu.Lock()
@@ -92,27 +92,27 @@
 	srv.Close()
 }
 
-// writeEntry writes the target's entry.
+// writeEntry writes the target's entry, with its leaving flag.
 func (s *leavingTarget) writeEntry(leaving bool) {
 	s.f.store.set(memoryTargets, s.name, catalog.Target{Service: "s", Address: s.name + ":1", Zone: s.zone, Start: s.startedAt, Leaving: leaving,
 		Models: []catalog.ModelVersion{{Model: "m", Version: 1}}})
 }
 
-// startLeaving has all answers from now on say so.
+// startLeaving makes all responses from now on carry a leaving notice.
 func (s *leavingTarget) startLeaving() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = true
 }
 
-// setHandler replaces how requests are answered.
-func (s *leavingTarget) setHandler(f func(w http.ResponseWriter, r *http.Request, leaves bool)) {
+// setHandler replaces the handler of requests.
+func (s *leavingTarget) setHandler(handler func(w http.ResponseWriter, r *http.Request, leaving bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.handler = f
+	s.handler = handler
 }
 
-// resetCounts drops what was noted of requests.
+// resetCounts drops what was recorded of requests.
 func (s *leavingTarget) resetCounts() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,21 +121,21 @@
 	clear(s.requestCounts)
 }
 
-// arrived is how many requests came by instances, but one of them.
-func (s *leavingTarget) arrived(but string) int {
+// requestsExceptFrom returns how many requests came from all instances except one.
+func (s *leavingTarget) requestsExceptFrom(except string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
-	for instance, reached := range s.requestCounts {
-		if instance != but {
-			n += reached
+	for instance, received := range s.requestCounts {
+		if instance != except {
+			n += received
 		}
 	}
 	return n
 }
 
-// from is how many came by one instance.
-func (s *leavingTarget) from(instance string) int {
+// requestsFrom returns how many requests came from an instance.
+func (s *leavingTarget) requestsFrom(instance string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.requestCounts[instance]
@@ -145,10 +145,10 @@
 func (s *leavingTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // its caller is gone
+		return // the caller is gone
 	}
-	instance, when, _ := strings.Cut(string(body), " ")
-	ns, err := strconv.ParseInt(when, 10, 64)
+	instance, sentAt, _ := strings.Cut(string(body), " ")
+	ns, err := strconv.ParseInt(sentAt, 10, 64)
 	if err != nil {
 		s.f.t.Error(err)
 	}
@@ -161,24 +161,24 @@
 	time.Sleep(runTime)
 	w.Header().Set(trafficID, r.Header.Get(trafficID))
 	s.mu.Lock()
-	leaves, answers := s.leaving, s.handler
-	if _, told := s.firstLeavingResponse[instance]; leaves && !told {
+	leaving, handler := s.leaving, s.handler
+	if _, announced := s.firstLeavingResponse[instance]; leaving && !announced {
 		s.firstLeavingResponse[instance] = time.Now()
 	}
 	s.mu.Unlock()
-	if leaves {
+	if leaving {
 		w.Header().Set(leavingHeader, "1")
 	}
-	if answers != nil {
-		answers(w, r, leaves)
+	if handler != nil {
+		handler(w, r, leaving)
 		return
 	}
-	_, _ = io.WriteString(w, s.name) // a caller that is gone needs no answer
+	_, _ = io.WriteString(w, s.name) // fails only if the caller is gone
 }
 
-// late lists the instances by which the target was sent requests later than bound after it had
-// first told them that it leaves; together: after it had first told any.
-func (s *leavingTarget) late(bound time.Duration, together bool) []string {
+// lateSenders lists the instances that sent requests to the target more than bound after its first notice
+// to them, or, with byAny, after its first notice to any instance.
+func (s *leavingTarget) lateSenders(bound time.Duration, byAny bool) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var first time.Time
@@ -189,36 +189,37 @@
 	}
 	var out []string
 	for instance, sent := range s.lastRequestSent {
-		told := s.firstLeavingResponse[instance]
-		if together {
-			told = first
+		announced := s.firstLeavingResponse[instance]
+		if byAny {
+			announced = first
 		}
-		if !told.IsZero() && sent.Sub(told) > bound {
-			out = append(out, fmt.Sprintf("%s %v", instance, sent.Sub(told)))
+		if !announced.IsZero() && sent.Sub(announced) > bound {
+			out = append(out, fmt.Sprintf("%s %v", instance, sent.Sub(announced)))
 		}
 	}
 	return out
 }
 
-// leavingFleet is a fleet before targets that say in their answers that they leave.
+// leavingFleet is a fleet with targets that announce in their responses that they leave.
 type leavingFleet struct {
 	*trafficFleet
-	leavingTargets []*leavingTarget
-	noStartTime    bool // the targets' entries don't tell when their lives started
-	loadGenerators sync.WaitGroup
+	leavingTargets  []*leavingTarget
+	noStartTime     bool // the targets' entries have no start times
+	pendingRequests sync.WaitGroup
 
 	mu     sync.Mutex
 	failed int
 }
 
-// newLeavingFleet starts n instances and some targets in two zones.
+// newLeavingFleet starts n instances and a number of targets in two zones.
 func newLeavingFleet(t *testing.T, n, targets int) *leavingFleet {
-	return newFleetWithoutStartTimes(t, n, targets, false)
+	return newLeavingFleetWith(t, n, targets, false)
 }
 
-// newFleetWithoutStartTimes is newLeavingFleet with targets whose entries don't tell their starts.
-func newFleetWithoutStartTimes(t *testing.T, n, targets int, unborn bool) *leavingFleet {
-	f := &leavingFleet{trafficFleet: newFleetWith(t, n, 2, 0, fleetOptions{codec: leavingCodec{}}), noStartTime: unborn}
+// newLeavingFleetWith is newLeavingFleet, with targets whose entries have no start times if noStartTime
+// is set.
+func newLeavingFleetWith(t *testing.T, n, targets int, noStartTime bool) *leavingFleet {
+	f := &leavingFleet{trafficFleet: newFleetWith(t, n, 2, 0, fleetOptions{codec: leavingCodec{}}), noStartTime: noStartTime}
 	for i := range targets {
 		s := &leavingTarget{f: f, name: fmt.Sprintf("t-%02d", i), zone: fmt.Sprintf("z%d", i%2)}
 		f.leavingTargets = append(f.leavingTargets, s)
@@ -229,7 +230,7 @@
 }
 
 func (f *leavingFleet) end() {
-	f.loadGenerators.Wait()
+	f.pendingRequests.Wait()
 	for _, s := range f.leavingTargets {
 		s.stop()
 	}
@@ -242,12 +243,12 @@
 	return f.requestAt(name+":1", path, name+" "+strconv.FormatInt(time.Now().UnixNano(), 10))
 }
 
-// sendLoad sends requests to instances in turn for a while, and returns when all are sent.
-func (f *leavingFleet) sendLoad(instances []int, path string, every, long time.Duration) {
-	for i := 0; time.Duration(i)*every < long; i++ {
-		f.loadGenerators.Add(1)
+// sendLoad sends requests to instances in turn for some time, and returns when all are sent.
+func (f *leavingFleet) sendLoad(instances []int, path string, every, duration time.Duration) {
+	for i := 0; time.Duration(i)*every < duration; i++ {
+		f.pendingRequests.Add(1)
 		go func() {
-			defer f.loadGenerators.Done()
+			defer f.pendingRequests.Done()
 			if f.sendOne(instances[i%len(instances)], path).status != http.StatusOK {
 				f.mu.Lock()
 				defer f.mu.Unlock()
@@ -258,16 +259,16 @@
 	}
 }
 
-// failures is how many of these were not served.
+// failures waits for the requests of sendLoad and returns how many were not served.
 func (f *leavingFleet) failures() int {
-	f.loadGenerators.Wait()
+	f.pendingRequests.Wait()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.failed
 }
 
-// all are the instances.
-func (f *leavingFleet) all() []int {
+// allInstances returns the indexes of all instances.
+func (f *leavingFleet) allInstances() []int {
 	out := make([]int, len(f.gateways))
 	for i := range out {
 		out[i] = i
@@ -275,101 +276,102 @@
 	return out
 }
 
-// refuses answers that the request did not run, once the target leaves.
-func refuses(w http.ResponseWriter, _ *http.Request, leaves bool) {
-	if leaves {
+// refuseIfLeaving responds that the request was not executed, once the target leaves.
+func refuseIfLeaving(w http.ResponseWriter, _ *http.Request, leaving bool) {
+	if leaving {
 		w.Header().Set(notExecutedHeader, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// failsAtTimes answers every eighth request with a failure, once the target leaves.
-func failsAtTimes() func(http.ResponseWriter, *http.Request, bool) {
+// failSomeIfLeaving fails every eighth request, once the target leaves.
+func failSomeIfLeaving() func(http.ResponseWriter, *http.Request, bool) {
 	var mu sync.Mutex
 	n := 0
-	return func(w http.ResponseWriter, _ *http.Request, leaves bool) {
+	return func(w http.ResponseWriter, _ *http.Request, leaving bool) {
 		mu.Lock()
 		defer mu.Unlock()
-		if n++; leaves && n%8 == 0 {
+		if n++; leaving && n%8 == 0 {
 			w.WriteHeader(http.StatusInternalServerError)
 		}
 	}
 }
 
-// Streams of the targets.
+// Streams that targets send.
 const (
 	streamEvents = 15
-	streamGap    = 200 * time.Millisecond // the whole lasts longer than leavingBound
+	streamGap    = 200 * time.Millisecond // a stream lasts longer than leavingBound
 )
 
-// streams answers with a stream.
-func streams(w http.ResponseWriter, _ *http.Request, _ bool) { streamSome(w, streamEvents) }
+// streamAll responds with a complete stream.
+func streamAll(w http.ResponseWriter, _ *http.Request, _ bool) { writeEvents(w, streamEvents) }
 
-// streamsHalf breaks a stream off in the middle.
-func streamsHalf(w http.ResponseWriter, _ *http.Request, _ bool) {
-	streamSome(w, streamEvents/2)
+// breakStream breaks a stream in the middle.
+func breakStream(w http.ResponseWriter, _ *http.Request, _ bool) {
+	writeEvents(w, streamEvents/2)
 	panic(http.ErrAbortHandler)
 }
 
-func streamSome(w http.ResponseWriter, n int) {
+func writeEvents(w http.ResponseWriter, n int) {
 	for i := range n {
-		_, _ = fmt.Fprintf(w, "id: %d\ndata: x\n\n", i+1) // a caller that is gone needs no answer
+		_, _ = fmt.Fprintf(w, "id: %d\ndata: x\n\n", i+1) // fails only if the caller is gone
 		_ = http.NewResponseController(w).Flush()
 		time.Sleep(streamGap)
 	}
 }
 
-// TestLeavingByOwnNotice guards against requests to a target that has said that it leaves, whatever its entry says.
+// TestLeavingByOwnNotice guards against requests to a target that has announced in its responses that it
+// leaves, whatever its entry says.
 func TestLeavingByOwnNotice(t *testing.T) {
 	const every = 5 * time.Millisecond
-	silent := func(f *leavingFleet) { f.silenceStore(true) }
+	silenceStore := func(f *leavingFleet) { f.silenceStore(true) }
 	cases := []struct {
 		name     string
 		n        int
 		path     string
 		every    time.Duration
-		answers  func(http.ResponseWriter, *http.Request, bool)
-		before   func(f *leavingFleet)                   // right before the target's first word
-		after    func(f *leavingFleet, s *leavingTarget) // while requests come
-		unborn   bool                                    // starts are not told
-		failures bool                                    // some may fail: targets break them, or the retry budget is used up
+		handler  func(http.ResponseWriter, *http.Request, bool)
+		before   func(f *leavingFleet)                   // right before the target's first notice
+		after    func(f *leavingFleet, s *leavingTarget) // while requests are sent
+		noStart  bool                                    // entries have no start times
+		failures bool                                    // requests may fail: targets break them, or the retry budget is used up
 	}{
-		{name: "the store is well, and the entry says ready", n: 3},
-		{name: "the store is silent", n: 3, before: silent},
-		{name: "the store is silent to a large fleet", n: 40, before: silent},
-		{name: "one instance alone", n: 1, before: silent},
-		{name: "requests that run once", n: 3, path: pathOnce, before: silent},
-		{name: "it refuses", n: 3, answers: refuses, before: silent, failures: true},
-		{name: "it fails at times", n: 3, path: pathOnce, answers: failsAtTimes(), before: silent, failures: true},
-		{name: "streams that last longer than the bound", n: 3, path: pathStream, every: 40 * time.Millisecond, answers: streams, before: silent},
-		{name: "streams that break and go on elsewhere", n: 3, path: pathStream, every: 40 * time.Millisecond, answers: streams, failures: true, before: func(f *leavingFleet) {
+		{name: "the store is reachable, and the entry says ready", n: 3},
+		{name: "the store is silent", n: 3, before: silenceStore},
+		{name: "the store is silent, large fleet", n: 40, before: silenceStore},
+		{name: "a single instance", n: 1, before: silenceStore},
+		{name: "at-most-once requests", n: 3, path: pathOnce, before: silenceStore},
+		{name: "the target refuses requests", n: 3, handler: refuseIfLeaving, before: silenceStore, failures: true},
+		{name: "the target fails some requests", n: 3, path: pathOnce, handler: failSomeIfLeaving(), before: silenceStore, failures: true},
+		{name: "streams longer than the bound", n: 3, path: pathStream, every: 40 * time.Millisecond, handler: streamAll, before: silenceStore},
+		{name: "broken streams resumed at another target", n: 3, path: pathStream, every: 40 * time.Millisecond, handler: streamAll, failures: true, before: func(f *leavingFleet) {
 			f.silenceStore(true)
-			f.leavingTargets[1].setHandler(streamsHalf)
+			f.leavingTargets[1].setHandler(breakStream)
 		}},
-		{name: "the entry is written again, as ready", n: 3, after: func(_ *leavingFleet, s *leavingTarget) { s.writeEntry(false) }},
-		{name: "the entry says it, and is written again as ready", n: 3, before: func(f *leavingFleet) { f.leavingTargets[0].writeEntry(true) },
+		{name: "the entry is rewritten as ready", n: 3, after: func(_ *leavingFleet, s *leavingTarget) { s.writeEntry(false) }},
+		{name: "the entry says leaving, and is rewritten as ready", n: 3, before: func(f *leavingFleet) { f.leavingTargets[0].writeEntry(true) },
 			after: func(_ *leavingFleet, s *leavingTarget) { s.writeEntry(false) }},
-		{name: "the entry vanishes and returns", n: 3, after: func(f *leavingFleet, s *leavingTarget) {
+		{name: "the entry is removed and written again", n: 3, after: func(f *leavingFleet, s *leavingTarget) {
 			f.store.remove(memoryTargets, s.name)
 			time.Sleep(500 * time.Millisecond)
 			s.writeEntry(false)
 		}},
-		{name: "starts are not told", n: 3, unborn: true, before: silent},
-		{name: "starts are not told, and the entry vanishes and returns", n: 3, unborn: true, after: func(f *leavingFleet, s *leavingTarget) {
+		{name: "no start times", n: 3, noStart: true, before: silenceStore},
+		{name: "no start times, and the entry is removed and written again", n: 3, noStart: true, after: func(f *leavingFleet, s *leavingTarget) {
 			f.store.remove(memoryTargets, s.name)
 			time.Sleep(2 * time.Second)
 			s.writeEntry(false)
 		}},
-		{name: "the entry can't be read for a while", n: 3, after: func(f *leavingFleet, s *leavingTarget) {
+		{name: "the entry is unreadable for a while", n: 3, after: func(f *leavingFleet, s *leavingTarget) {
 			f.store.set(memoryTargets, s.name, "no entry")
 			time.Sleep(500 * time.Millisecond)
 			s.writeEntry(false)
 		}},
-		{name: "history is lost", n: 3, after: func(f *leavingFleet, s *leavingTarget) {
+		{name: "watch history is lost", n: 3, after: func(f *leavingFleet, s *leavingTarget) {
 			f.store.truncateHistory()
 			s.writeEntry(false)
 		}},
-		{name: "the store returns", n: 3, before: silent, after: func(f *leavingFleet, s *leavingTarget) {
+		{name: "the store becomes reachable again", n: 3, before: silenceStore, after: func(f *leavingFleet, s *leavingTarget) {
 			f.silenceStore(false)
 			time.Sleep(500 * time.Millisecond)
 			s.writeEntry(false)
@@ -379,34 +381,34 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				f := newFleetWithoutStartTimes(t, c.n, 3, c.unborn)
+				f := newLeavingFleetWith(t, c.n, 3, c.noStart)
 				defer f.end()
-				path, pause := c.path, c.every
+				path, interval := c.path, c.every
 				if path == "" {
 					path = pathSafe
 				}
-				if pause == 0 {
-					pause = every
+				if interval == 0 {
+					interval = every
 				}
 				for _, s := range f.leavingTargets {
-					s.setHandler(c.answers)
+					s.setHandler(c.handler)
 				}
 				s := f.leavingTargets[0]
-				f.sendLoad(f.all(), path, pause, time.Second)
-				if s.arrived("") == 0 {
-					t.Error("the target was not used")
+				f.sendLoad(f.allInstances(), path, interval, time.Second)
+				if s.requestsExceptFrom("") == 0 {
+					t.Error("the target received no requests before it left")
 				}
 				s.startLeaving()
 				if c.before != nil {
 					c.before(f)
 				}
-				f.sendLoad(f.all(), path, pause, time.Second)
+				f.sendLoad(f.allInstances(), path, interval, time.Second)
 				if c.after != nil {
 					c.after(f, s)
 				}
-				f.sendLoad(f.all(), path, pause, 3*leavingBound)
-				if late := s.late(leavingBound, true); len(late) > 0 {
-					t.Errorf("requests were sent to it after it had said that it leaves: %v", late)
+				f.sendLoad(f.allInstances(), path, interval, 3*leavingBound)
+				if lateSenders := s.lateSenders(leavingBound, true); len(lateSenders) > 0 {
+					t.Errorf("requests sent too late after the first leaving notice: %v", lateSenders)
 				}
 				if n := f.failures(); n > 0 && !c.failures {
 					t.Errorf("%d requests were not served", n)
@@ -416,49 +418,51 @@
 	}
 }
 
-// TestLeavingByPeerReport guards against requests to a target that has said that it leaves to another instance only.
+// TestLeavingByPeerReport guards against requests to a target that has announced that it leaves to another
+// instance only.
 func TestLeavingByPeerReport(t *testing.T) {
-	onlyPeers := func(f *leavingFleet) { f.storeClients[f.addInstance()].setSilent(true) }
+	startWithoutStore := func(f *leavingFleet) { f.storeClients[f.addInstance()].setSilent(true) }
 	cases := []struct {
-		name   string
-		n      int
-		unborn bool                  // starts are not told
-		more   func(f *leavingFleet) // instances that start after the word
+		name    string
+		n       int
+		noStart bool                  // entries have no start times
+		add     func(f *leavingFleet) // starts instances after the notice
 	}{
 		{"a small fleet", 3, false, nil},
 		{"a large fleet", 40, false, nil},
-		{"starts are not told", 40, true, nil},
-		{"an instance starts, and the store answers it", 3, false, func(f *leavingFleet) {
+		{"no start times", 40, true, nil},
+		{"an instance starts, and the store is reachable", 3, false, func(f *leavingFleet) {
 			f.silenceStore(false)
 			f.addInstance()
 		}},
-		{"an instance starts, and only peers can tell it", 3, false, onlyPeers},
-		{"an instance starts, only peers can tell it, and starts are not told", 3, true, onlyPeers},
+		{"an instance starts and learns from peers only", 3, false, startWithoutStore},
+		{"an instance starts and learns from peers only, no start times", 3, true, startWithoutStore},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				f := newFleetWithoutStartTimes(t, c.n, 3, c.unborn)
+				f := newLeavingFleetWith(t, c.n, 3, c.noStart)
 				defer f.end()
 				f.silenceStore(true)
 				f.leavingTargets[0].startLeaving()
 				f.sendLoad([]int{0}, pathSafe, 10*time.Millisecond, time.Second)
-				is.True(f.leavingTargets[0].arrived("") > 0)
-				if c.more != nil {
-					c.more(f)
-					time.Sleep(2 * time.Second) // it knows the targets
+				is.True(f.leavingTargets[0].requestsExceptFrom("") > 0)
+				if c.add != nil {
+					c.add(f)
+					time.Sleep(2 * time.Second) // until it knows the targets
 				}
-				f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, leavingBound)
-				is.Equal(f.leavingTargets[0].arrived("e-000"), 0)
+				f.sendLoad(f.allInstances(), pathSafe, 5*time.Millisecond, leavingBound)
+				is.Equal(f.leavingTargets[0].requestsExceptFrom("e-000"), 0)
 				is.Equal(f.failures(), 0)
 			})
 		})
 	}
 }
 
-// TestLeavingAfterInstanceRestart guards against instances that have just started going on after the first such answer.
+// TestLeavingAfterInstanceRestart guards against restarted instances that continue to send requests to a
+// target after its first leaving notice to them.
 func TestLeavingAfterInstanceRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -468,13 +472,14 @@
 		f.restartAll()
 		time.Sleep(time.Second)
 		f.leavingTargets[0].resetCounts()
-		f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, 3*leavingBound)
-		is.True(f.leavingTargets[0].arrived("") > 0)
-		is.Equal(f.leavingTargets[0].late(leavingBound, false), nil)
+		f.sendLoad(f.allInstances(), pathSafe, 5*time.Millisecond, 3*leavingBound)
+		is.True(f.leavingTargets[0].requestsExceptFrom("") > 0)
+		is.Equal(f.leavingTargets[0].lateSenders(leavingBound, false), nil)
 	})
 }
 
-// TestNewIncarnationAfterLeaving guards against a target's next life being left out for what the one before said.
+// TestNewIncarnationAfterLeaving guards against leaving out a target's new incarnation because of the
+// notice of the previous one.
 func TestNewIncarnationAfterLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -482,19 +487,20 @@
 		defer f.end()
 		s := f.leavingTargets[0]
 		s.startLeaving()
-		f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
+		f.sendLoad(f.allInstances(), pathSafe, 5*time.Millisecond, time.Second)
 		s.stop()
 		time.Sleep(100 * time.Millisecond)
 		s.start()
 		time.Sleep(time.Second)
-		f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
+		f.sendLoad(f.allInstances(), pathSafe, 5*time.Millisecond, time.Second)
 		for _, g := range f.gateways {
-			is.True(s.from(g.settings().Name) > 0)
+			is.True(s.requestsFrom(g.settings().Name) > 0)
 		}
 	})
 }
 
-// TestWrongResponseCarriesNotice guards against a target being left out for good by another request's answer.
+// TestWrongResponseCarriesNotice guards against leaving out a target for good because of a notice in the
+// response to another request.
 func TestWrongResponseCarriesNotice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -508,14 +514,15 @@
 				w.Header().Set(leavingHeader, "1")
 			})
 		})
-		f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
+		f.sendLoad(f.allInstances(), pathSafe, 5*time.Millisecond, time.Second)
 		s.resetCounts()
-		f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
-		is.True(s.arrived("") > 0)
+		f.sendLoad(f.allInstances(), pathSafe, 5*time.Millisecond, time.Second)
+		is.True(s.requestsExceptFrom("") > 0)
 	})
 }
 
-// TestLeavingOfAllTargets guards against requests that wait, or run, where all targets have said that they leave.
+// TestLeavingOfAllTargets guards against requests that wait, or are executed, after all targets have
+// announced that they leave.
 func TestLeavingOfAllTargets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -525,15 +532,15 @@
 		for _, s := range f.leavingTargets {
 			s.startLeaving()
 		}
-		f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
-		f.loadGenerators.Wait()
+		f.sendLoad(f.allInstances(), pathSafe, 5*time.Millisecond, time.Second)
+		f.pendingRequests.Wait()
 		for _, s := range f.leavingTargets {
 			s.resetCounts()
 		}
 		for i := range 6 {
-			began := time.Now()
+			start := time.Now()
 			conn := f.dialCaller(i % 3)
-			body := fmt.Sprintf("e-%03d %d", i%3, began.UnixNano())
+			body := fmt.Sprintf("e-%03d %d", i%3, start.UnixNano())
 			_, err := fmt.Fprintf(conn, "POST %sx HTTP/1.1\r\nHost: %s\r\n%s: all-%d\r\n%s: key\r\nContent-Length: %d\r\n\r\n%s", pathOnce, anyHost, trafficID, i, trafficKey, len(body), body)
 			is.NoErr(err)
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -543,22 +550,22 @@
 			data, err := io.ReadAll(resp.Body)
 			is.NoErr(err)
 			is.True(strings.Contains(string(data), `"not-run"`))
-			is.True(time.Since(began) < 50*time.Millisecond)
+			is.True(time.Since(start) < 50*time.Millisecond)
 		}
 		for _, s := range f.leavingTargets {
-			is.Equal(s.arrived(""), 0)
+			is.Equal(s.requestsExceptFrom(""), 0)
 		}
 	})
 }
 
-// TestStreamAtLeavingTarget guards against a stream being cut as its target says that it leaves.
+// TestStreamAtLeavingTarget guards against cutting a stream when its target announces that it leaves.
 func TestStreamAtLeavingTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newLeavingFleet(t, 3, 1)
 		defer f.end()
 		s := f.leavingTargets[0]
-		s.setHandler(streams)
+		s.setHandler(streamAll)
 		got := make(chan trafficResponse, 1)
 		go func() { got <- f.sendOne(0, pathStream) }()
 		time.Sleep(time.Second)
@@ -571,7 +578,8 @@
 	})
 }
 
-// TestLeavingIsNoCrash guards against the end of a target that said that it leaves being taken for a crash.
+// TestLeavingIsNoCrash guards against taking the end of a target that has announced that it leaves for a
+// crash.
 func TestLeavingIsNoCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -579,22 +587,22 @@
 		defer f.end()
 		f.silenceStore(true)
 		s := f.leavingTargets[0]
-		s.setHandler(streams)
-		var all sync.WaitGroup
+		s.setHandler(streamAll)
+		var requests sync.WaitGroup
 		for i := range 9 {
-			all.Add(1)
+			requests.Add(1)
 			go func() {
-				defer all.Done()
+				defer requests.Done()
 				f.sendOne(i%3, pathStream)
 			}()
 		}
 		time.Sleep(500 * time.Millisecond)
-		is.True(s.arrived("") > 0)
+		is.True(s.requestsExceptFrom("") > 0)
 		s.setHandler(nil)
 		s.startLeaving()
-		f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
+		f.sendLoad(f.allInstances(), pathSafe, 5*time.Millisecond, time.Second)
 		s.stop()
-		all.Wait()
+		requests.Wait()
 		time.Sleep(time.Second)
 		for _, g := range f.gateways {
 			is.True(g.quarantine.Empty())
@@ -602,7 +610,7 @@
 	})
 }
 
-// leavingEngines are targets whose reports say that they leave.
+// leavingEngines returns reports that say that the target leaves.
 type leavingEngines struct {
 	Engines
 	startedAt int64
@@ -613,7 +621,8 @@
 	return Report{Start: e.startedAt, Models: []catalog.ModelVersion{{Model: "m", Version: 1}}, Notice: Notice{Leaving: true}}, nil
 }
 
-// TestLeavingByOwnReport guards against requests, and loads, for a target whose report says that it leaves.
+// TestLeavingByOwnReport guards against requests to a target whose report says that it leaves, and against
+// loading weights there.
 func TestLeavingByOwnReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -625,13 +634,14 @@
 		_, err := f.gateways[0].rollout.fetchReport(t.Context(), target)
 		is.NoErr(err)
 		time.Sleep(time.Second)
-		f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
-		is.Equal(s.arrived(""), 0)
+		f.sendLoad(f.allInstances(), pathSafe, 5*time.Millisecond, time.Second)
+		is.Equal(s.requestsExceptFrom(""), 0)
 		is.Equal(f.failures(), 0)
 	})
 }
 
-// TestReportOfAnotherIncarnation guards against a target being left out for what another of its lives reports.
+// TestReportOfAnotherIncarnation guards against leaving out a target because of the report of another of its
+// incarnations.
 func TestReportOfAnotherIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -643,7 +653,7 @@
 		_, err := f.gateways[0].rollout.fetchReport(t.Context(), target)
 		is.True(err != nil)
 		time.Sleep(time.Second)
-		f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
-		is.True(s.arrived("") > 0)
+		f.sendLoad(f.allInstances(), pathSafe, 5*time.Millisecond, time.Second)
+		is.True(s.requestsExceptFrom("") > 0)
 	})
 }
--- a/internal/gateway/staleness_test.go
+++ b/internal/gateway/staleness_test.go
@@ -54,12 +54,12 @@
 				for i, client := range f.storeClients {
 					client.setSilent(c.stores || i == isolated)
 				}
-				f.net.setCut(host, c.peers)
+				f.net.setIsolated(host, c.peers)
 				time.Sleep(within / 2)
 				is.True(f.gateways[isolated].Ready()) // the outage may still end soon
 				time.Sleep(within)
 				is.Equal(f.gateways[isolated].Ready(), !c.refuses)
-				f.net.setCut(host, false) // callers reach it again, its peers have not yet
+				f.net.setIsolated(host, false) // callers reach it again, its peers have not yet
 				want := http.StatusNotFound
 				if c.refuses {
 					want = http.StatusServiceUnavailable
--- a/internal/gateway/traffic_test.go
+++ b/internal/gateway/traffic_test.go
@@ -185,7 +185,7 @@
 // isolate cuts instances off from everything but callers, or reconnects them.
 func (f *trafficFleet) isolate(instances []int, isolated bool) {
 	for _, i := range instances {
-		f.net.setCut(f.gateways[i].settings().Name, isolated)
+		f.net.setIsolated(f.gateways[i].settings().Name, isolated)
 		f.storeClients[i].setSilent(isolated)
 	}
 }
--- a/internal/gateway/unreachable_zones_test.go
+++ b/internal/gateway/unreachable_zones_test.go
@@ -54,7 +54,7 @@
 func (f *evacuatedFleet) cutZone(zone string, cut bool) {
 	for _, m := range f.targets {
 		if m.zone == zone {
-			f.net.setCut(m.name, cut)
+			f.net.setIsolated(m.name, cut)
 		}
 	}
 	for i, g := range f.gateways {
@@ -113,7 +113,7 @@
 		f := newEvacuatedFleet(t, 9)
 		defer f.end()
 		unreachable := f.targets[1]
-		f.net.setCut(unreachable.name, true)
+		f.net.setIsolated(unreachable.name, true)
 		_, before := f.arrivals.in(unreachable.zone)
 		f.sendFor(pathSafe, "", requestInterval, 5*time.Second)
 		if _, after := f.arrivals.in(unreachable.zone); after-before < 200 {
@@ -129,11 +129,11 @@
 		f := newEvacuatedFleet(t, 9)
 		defer f.end()
 		for _, m := range f.targets {
-			f.net.setCut(m.name, true)
+			f.net.setIsolated(m.name, true)
 		}
 		f.sendFor(pathSafe, "", 50*time.Millisecond, 3*time.Second)
 		for _, m := range f.targets {
-			f.net.setCut(m.name, false)
+			f.net.setIsolated(m.name, false)
 		}
 		time.Sleep(time.Second)
 		for _, request := range f.sendFor(pathSafe, "", 50*time.Millisecond, 2*time.Second) {
