--- a/internal/gateway/lease_test.go
+++ b/internal/gateway/lease_test.go
@@ -7,19 +7,19 @@
 	"github.com/matryer/is"
 )
 
-// TestFormerHoldersTargetsAreGuarded: a new holder leaves alone the targets that the one before closed, or
-// all if that is not known, until its orders are old enough.
+// TestFormerHoldersTargetsAreGuarded guards against orders of a new holder to targets that the former
+// holder cordoned or loaded, or to any target if those are not known, before the lease gap is over.
 func TestFormerHoldersTargetsAreGuarded(t *testing.T) {
 	is := is.New(t)
-	last, gap := time.Unix(100, 0), 3*time.Second
-	early, late := last.Add(gap-time.Millisecond), last.Add(gap)
-	news := RolloutUpdate{Holder: "old", Cordoned: []string{"a"}, Loaded: []LoadedTarget{{Target: "b"}}}
-	known := newHandoverGuard("old", last, gap, news)
+	lastAct, gap := time.Unix(100, 0), 3*time.Second
+	early, late := lastAct.Add(gap-time.Millisecond), lastAct.Add(gap)
+	update := RolloutUpdate{Holder: "old", Cordoned: []string{"a"}, Loaded: []LoadedTarget{{Target: "b"}}}
+	known := newHandoverGuard("old", lastAct, gap, update)
 	is.True(known.blocks("a", early))
 	is.True(known.blocks("b", early))
 	is.True(!known.blocks("c", early))
 	is.True(!known.blocks("a", late))
-	unknown := newHandoverGuard("another", last, gap, news)
+	unknown := newHandoverGuard("another", lastAct, gap, update)
 	is.True(unknown.blocks("c", early))
 	is.True(!unknown.blocks("c", late))
 	is.True(!handoverGuard{}.blocks("a", early))
--- a/internal/gateway/order_notices_test.go
+++ b/internal/gateway/order_notices_test.go
@@ -12,7 +12,7 @@
 	"github.com/shedhoist/shedhoist/internal/catalog"
 )
 
-// orderEngines answer orders with a word.
+// orderEngines answer orders with a status and a notice.
 type orderEngines struct {
 	Engines
 	status int
@@ -27,7 +27,7 @@
 	return e.notice, nil
 }
 
-// sendOrder gives an order to a target, with the lease held.
+// sendOrder sends an order to a target while the first instance holds the lease.
 func (f *trafficFleet) sendOrder(is *is.I, target string, e orderEngines) {
 	g := f.gateways[0]
 	e.Engines = g.engines
@@ -44,8 +44,8 @@
 	time.Sleep(time.Second)
 }
 
-// TestLeavingByOrderResponse guards against requests to a target that said in the answer to an
-// order that it leaves.
+// TestLeavingByOrderResponse guards against requests to a target that announced in the response to
+// an order that it is leaving.
 func TestLeavingByOrderResponse(t *testing.T) {
 	for _, status := range []int{http.StatusAccepted, http.StatusConflict, http.StatusServiceUnavailable} {
 		t.Run(http.StatusText(status), func(t *testing.T) {
@@ -63,47 +63,48 @@
 	}
 }
 
-// TestRequestedBackoffByOrderResponse guards against requests to a target that refused an order and asked
-// for rest then.
+// TestRequestedBackoffByOrderResponse guards against requests to a target that refused an order and
+// requested backoff with the refusal.
 func TestRequestedBackoffByOrderResponse(t *testing.T) {
-	const rest = 2 * time.Second
+	const backoff = 2 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newBackoffFleet(t, 1, served)
 		defer f.end()
-		f.sendOrder(is, f.loadGenerators[0].name, orderEngines{status: http.StatusServiceUnavailable, notice: Notice{Backoff: rest}})
+		f.sendOrder(is, f.loadGenerators[0].name, orderEngines{status: http.StatusServiceUnavailable, notice: Notice{Backoff: backoff}})
 		is.True(f.send(0, pathSafe, "x").isLocal())
-		time.Sleep(rest)
+		time.Sleep(backoff)
 		is.Equal(f.send(0, pathSafe, "x").status, http.StatusOK)
 	})
 }
 
-// TestOrderAnsweredByNextIncarnation guards against a target being left out for what its life before
-// answered to an order, and against a word being lost that the next life answered.
+// TestOrderAnsweredByNextIncarnation guards against a target being excluded because of a notice of
+// its previous incarnation in the response to an order, and against the loss of a notice of the next
+// incarnation.
 func TestOrderAnsweredByNextIncarnation(t *testing.T) {
-	for name, again := range map[string]time.Duration{"the life before answers": time.Second, "the next life answers": 0} {
+	for name, restartDelay := range map[string]time.Duration{"previous incarnation answers": time.Second, "next incarnation answers": 0} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				f := newLeavingFleet(t, 1, 2)
 				defer f.end()
-				s := f.leavingTargets[0]
+				target := f.leavingTargets[0]
 				f.silenceStore(true)
-				if again == 0 {
-					s.stop()
-					s.start()
+				if restartDelay == 0 {
+					target.stop()
+					target.start()
 				}
-				f.sendOrder(is, s.name, orderEngines{status: http.StatusAccepted, notice: Notice{Leaving: true}})
-				if again > 0 {
-					s.stop()
-					time.Sleep(again)
-					s.start()
+				f.sendOrder(is, target.name, orderEngines{status: http.StatusAccepted, notice: Notice{Leaving: true}})
+				if restartDelay > 0 {
+					target.stop()
+					time.Sleep(restartDelay)
+					target.start()
 				}
 				f.silenceStore(false)
 				time.Sleep(3 * time.Second)
 				f.sendLoad(f.all(), pathSafe, 5*time.Millisecond, time.Second)
-				is.Equal(s.arrived("") > 0, again > 0)
-				is.True(f.gateways[0].view.Load().Targets[catalog.Target{Name: s.name, Start: s.startedAt}.WithID().ID] != nil)
+				is.Equal(target.arrived("") > 0, restartDelay > 0)
+				is.True(f.gateways[0].view.Load().Targets[catalog.Target{Name: target.name, Start: target.startedAt}.WithID().ID] != nil)
 			})
 		})
 	}
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -30,67 +30,69 @@
 // Times of a rollout.
 const (
 	rolloutTick = 100 * time.Millisecond
-	// maxContenders is how many instances stand by for the lease; the others cost the
-	// store nothing.
+	// maxContenders is how many instances stand by for the lease; the others make no calls to
+	// the store for it.
 	maxContenders = 4
-	// contenderDelay is how much later each next contender tries for a free lease.
+	// contenderDelay is how much later each next contender tries to acquire a free lease.
 	contenderDelay = 700 * time.Millisecond
-	// leaseRenewInterval is how often a holder that waits for loads renews, so that the
-	// contenders see it alive.
+	// leaseRenewInterval is how often a holder that waits for loads renews the lease, so that
+	// the contenders see that it is alive.
 	leaseRenewInterval = 400 * time.Millisecond
-	// leaseWatchTimeout is how long a contender's watch of the lease waits: it changes
-	// only during rollouts.
+	// leaseWatchTimeout is how long a contender's watch call waits: the lease changes only
+	// during rollouts.
 	leaseWatchTimeout = 20 * time.Second
-	// loadTimeout is the longest time that one load may take: runs finish first.
+	// loadTimeout is the longest time that one load may take, including the running requests
+	// that finish before it.
 	loadTimeout = 15 * time.Second
-	// loadPollInterval is how often a load's progress is asked for.
+	// loadPollInterval is how often a load's progress is polled.
 	loadPollInterval = 100 * time.Millisecond
-	// loadAcceptTime is how long after an order without effect it is given again: a
-	// report lags some hundred ms.
+	// loadAcceptTime is how long an order may show no effect before the load ends as not
+	// accepted and is planned again: a report lags by some hundred ms.
 	loadAcceptTime = 900 * time.Millisecond
-	// minServingShare is the share of a model's targets that keep serving.
+	// minServingShare is the least share of a model's targets that keep serving.
 	minServingShare = 0.5
-	// planAhead is one target closed to new requests for so many that may load: a
-	// load takes about twice as long as a target is closed before it.
-	planAhead = 3
-	// cordonTime is how long a target is closed before its order: instances hear of
-	// it in milliseconds, and most short answers end meanwhile.
+	// loadsPerCordonedTarget is how many concurrent loads allow one more target to be cordoned
+	// ahead of its load: a load takes about twice as long as the cordon before it.
+	loadsPerCordonedTarget = 3
+	// cordonTime is how long a target is cordoned before its order: the other instances learn
+	// of it within milliseconds, and most short responses end meanwhile.
 	cordonTime = 500 * time.Millisecond
-	// minLoadTime is the time before the first look at a load: none was seen faster.
+	// minLoadTime is the time before a load's progress is first polled: no load has been seen
+	// to be faster.
 	minLoadTime = 600 * time.Millisecond
-	// renewTries is how often an order that is due looks for the lease's renewal.
+	// renewTries is how often an order that is due checks whether the lease is renewed.
 	renewTries = 20
-	// rolloutUpdateInterval is how often the holder repeats what it does.
+	// rolloutUpdateInterval is how often the holder repeats its rollout update.
 	rolloutUpdateInterval = time.Second
 )
 
-// rolloutController gives orders while this instance holds the lease.
+// rolloutController sends load orders while this instance holds the lease.
 type rolloutController struct {
 	g            *Gateway
-	workSince    time.Time // since when there is work; zero: none
-	lastLeaseTry time.Time // last try to take or renew the lease
+	workSince    time.Time // since when there are outdated targets; zero: there are none
+	lastLeaseTry time.Time // last attempt to read or write the lease
 
 	renewals     uint64
 	renewWanted  atomic.Bool // an order waits for the lease to be renewed
-	leaseWatched atomic.Bool // the watch tells of changes of the lease
+	leaseWatched atomic.Bool // the watch reports changes of the lease
 
-	mu           sync.Mutex // guards the rest
+	mu           sync.Mutex // guards the fields below
 	lease        *rollout.Lease
 	planner      *rollout.Planner
-	loading      map[string]bool // ids of targets with a load planned or under way
-	runningLoads int             // loads under way
-	maxLoads     int             // that may be
-	loaded       []LoadedTarget  // in this hold of the lease
-	fencingToken uint64          // of this hold
-	updateSeq    uint64          // of the news told
-	lastUpdate   time.Time       // when
-	guard        handoverGuard   // after another's hold
+	loading      map[string]bool // ids of targets with a load planned or in progress
+	runningLoads int             // loads in progress
+	maxLoads     int             // limit of runningLoads
+	loaded       []LoadedTarget  // since this instance acquired the lease
+	fencingToken uint64          // of the lease as acquired
+	updateSeq    uint64          // of the last rollout update
+	lastUpdate   time.Time       // when it was announced
+	guard        handoverGuard   // after another holder
 
 	deferredUntil map[string]time.Time // ids of targets, see deferLoads
 }
 
-// runRollouts brings targets to the weight versions named, while the lease is here.
-// The lease lapses when there is nothing to do; whoever ranks first takes it.
+// runRollouts brings targets to the named weight versions while this instance holds the lease.
+// The lease lapses when no target is outdated; the contender that ranks first acquires it next.
 func (g *Gateway) runRollouts(ctx context.Context) {
 	o := g.rollout
 	g.spawn(func() { o.watchLease(ctx) })
@@ -104,11 +106,11 @@
 	return &rolloutController{g: g, lease: rollout.NewLease(leaseParams, set.Name), planner: rollout.NewPlanner(loadTimeout), loading: map[string]bool{}, maxLoads: rollout.DefaultMaxLoads, deferredUntil: map[string]time.Time{}}
 }
 
-// runRound does what is due now.
+// runRound maintains the lease and starts the loads that are due.
 func (o *rolloutController) runRound(ctx context.Context) {
 	v := o.g.view.Load()
-	behind := v.Outdated
-	if len(behind) == 0 || v.Draining {
+	outdated := v.Outdated
+	if len(outdated) == 0 || v.Draining {
 		o.workSince = time.Time{}
 		return
 	}
@@ -120,7 +122,7 @@
 	if rank >= maxContenders || now.Sub(o.workSince) < time.Duration(rank)*contenderDelay {
 		return
 	}
-	if now.Sub(o.lastLeaseTry) >= leaseRenewInterval || o.renewWanted.Swap(false) || !o.allStarted(len(behind)) {
+	if now.Sub(o.lastLeaseTry) >= leaseRenewInterval || o.renewWanted.Swap(false) || !o.allStarted(len(outdated)) {
 		o.maintainLease(ctx)
 	}
 	for _, l := range o.planLoads(v) {
@@ -129,15 +131,15 @@
 	o.repeatUpdate()
 }
 
-// allStarted says that all loads that may be under way are.
-func (o *rolloutController) allStarted(behind int) bool {
+// allStarted reports whether as many loads are planned or in progress as the limits allow.
+func (o *rolloutController) allStarted(outdated int) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return len(o.loading) >= min(o.maxLoads+o.maxLoads/planAhead, behind)
+	return len(o.loading) >= min(o.maxLoads+o.maxLoads/loadsPerCordonedTarget, outdated)
 }
 
-// repeatUpdate tells the other instances what this one does, again and again as long
-// as it does anything.
+// repeatUpdate announces the rollout update to the other instances periodically while loads are
+// planned or in progress.
 func (o *rolloutController) repeatUpdate() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -146,49 +148,49 @@
 	}
 }
 
-// announce makes news of what is closed and what has arrived; o.mu is held.
+// announce publishes a rollout update with the cordoned and the loaded targets; o.mu is held.
 func (o *rolloutController) announce() {
 	o.updateSeq++
 	o.lastUpdate = o.g.now()
-	news := RolloutUpdate{Holder: o.g.settings().Name, Stamp: RolloutStamp{Token: o.fencingToken, Seq: o.updateSeq}, Loaded: slices.Clone(o.loaded)}
+	update := RolloutUpdate{Holder: o.g.settings().Name, Stamp: RolloutStamp{Token: o.fencingToken, Seq: o.updateSeq}, Loaded: slices.Clone(o.loaded)}
 	for id := range o.loading {
-		news.Cordoned = append(news.Cordoned, id)
+		update.Cordoned = append(update.Cordoned, id)
 	}
-	slices.Sort(news.Cordoned)
-	o.g.sendEvent(rolloutReceived{update: news, own: true})
+	slices.Sort(update.Cordoned)
+	o.g.sendEvent(rolloutReceived{update: update, own: true})
 }
 
-// rankOf is an instance's place among the live ones for a role, the same at all
-// of them.
+// rankOf returns an instance's rank among the live ones for a role. All instances compute the
+// same rank.
 func rankOf(alive []string, self, role string) int {
 	return rendezvous.Rank(alive, self, role)
 }
 
-// planLoads chooses the loads to order now; none without the lease.
+// planLoads returns the loads to order now; none without the lease.
 func (o *rolloutController) planLoads(v *View) []rollout.Load {
 	var targets []rollout.Target
-	now, age := o.g.now(), map[string]time.Duration{}
-	wishes := map[string]rollout.DesiredVersion{}
-	for model, n := range v.NamedVersions {
-		wishes[model] = rollout.DesiredVersion{Version: versionText(n.Newest), MinReady: minServingShare}
+	now, outdatedFor := o.g.now(), map[string]time.Duration{}
+	desired := map[string]rollout.DesiredVersion{}
+	for model, named := range v.NamedVersions {
+		desired[model] = rollout.DesiredVersion{Version: versionText(named.Newest), MinReady: minServingShare}
 	}
 	o.mu.Lock()
-	fenced := o.guard
+	guard := o.guard
 	o.mu.Unlock()
 	for _, t := range v.Targets {
-		if t.IsLeaving() || !v.Config.HasService(t.Service) || fenced.blocks(t.ID, now) {
+		if t.IsLeaving() || !v.Config.HasService(t.Service) || guard.blocks(t.ID, now) {
 			continue
 		}
 		for _, m := range t.Models {
-			at := min(m.Version, v.NamedVersions[m.Model].Newest) // newer than we know of is as good
-			targets = append(targets, rollout.Target{Name: t.ID, Model: m.Model, Version: versionText(at), Ready: true})
-			age[t.ID] = v.NamedVersions[m.Model].outdatedFor(m.Version, now)
+			version := min(m.Version, v.NamedVersions[m.Model].Newest) // a version newer than the newest known counts as that one
+			targets = append(targets, rollout.Target{Name: t.ID, Model: m.Model, Version: versionText(version), Ready: true})
+			outdatedFor[t.ID] = v.NamedVersions[m.Model].outdatedFor(m.Version, now)
 		}
 	}
-	// Those that have been behind for longest go first; else in an order that
-	// mixes the zones.
+	// Those that have been outdated for longest go first; ties are broken by hash, which mixes
+	// the zones.
 	slices.SortFunc(targets, func(a, b rollout.Target) int {
-		return cmp.Or(cmp.Compare(age[b.Name], age[a.Name]), cmp.Compare(xxhash.Sum64String(a.Name), xxhash.Sum64String(b.Name)))
+		return cmp.Or(cmp.Compare(outdatedFor[b.Name], outdatedFor[a.Name]), cmp.Compare(xxhash.Sum64String(a.Name), xxhash.Sum64String(b.Name)))
 	})
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -199,11 +201,11 @@
 		targets[i].Loading = o.loading[targets[i].Name]
 	}
 	o.maxLoads = rollout.MaxConcurrentLoads(len(targets))
-	o.planner.SetLimits(o.maxLoads, o.maxLoads/planAhead)
+	o.planner.SetLimits(o.maxLoads, o.maxLoads/loadsPerCordonedTarget)
 	targets = slices.DeleteFunc(targets, func(t rollout.Target) bool {
 		return !t.Loading && now.Before(o.deferredUntil[t.Name])
 	})
-	loads := o.planner.Plan(targets, wishes, o.g.now())
+	loads := o.planner.Plan(targets, desired, o.g.now())
 	for _, l := range loads {
 		o.loading[l.Target] = true
 	}
@@ -215,13 +217,13 @@
 
 func versionText(v uint64) string { return strconv.FormatUint(v, 10) }
 
-// runLoad orders one load and follows it to its end.
+// runLoad performs one load and logs its outcome.
 func (o *rolloutController) runLoad(ctx context.Context, l rollout.Load, t *catalog.Target) {
 	version, err := strconv.ParseUint(l.Version, 10, 64)
 	if err != nil {
-		panic(err) // versionText made it
+		panic(err) // unreachable: versionText formatted it
 	}
-	began := o.g.now()
+	startedAt := o.g.now()
 	outcome := o.performLoad(ctx, l.Model, version, t)
 	o.mu.Lock()
 	delete(o.loading, l.Target)
@@ -229,18 +231,18 @@
 	o.announce()
 	o.mu.Unlock()
 	o.g.log.WithField("target", l.Target).WithField("model", l.Model).WithField("version", version).WithField("outcome", outcome).
-		WithField("ms", o.g.now().Sub(began).Milliseconds()).Info("load ended")
+		WithField("ms", o.g.now().Sub(startedAt).Milliseconds()).Info("load ended")
 }
 
-// performLoad closes a target, gives the order and waits for its effect. It returns
-// how it ended.
+// performLoad waits for a target's cordon to take effect, sends the order and waits until the
+// version is loaded. It returns the outcome for the log.
 func (o *rolloutController) performLoad(ctx context.Context, model string, version uint64, t *catalog.Target) string {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	wait.For(ctx, cordonTime)
 	for !o.acquireSlot() {
 		if !wait.For(ctx, rolloutTick/2) {
-			return "no turn in time"
+			return "no free load slot in time"
 		}
 	}
 	defer o.releaseSlot()
@@ -252,7 +254,7 @@
 		return "no report: " + err.Error()
 	}
 	if o.recordIfLoaded(before, model, version, t) {
-		return "already there"
+		return "already loaded"
 	}
 	if before.Notice.Leaving {
 		return (&TargetLeavingError{Target: t.ID}).Error()
@@ -263,7 +265,7 @@
 	return o.awaitLoad(ctx, model, version, t, before.OrderSeq)
 }
 
-// acquireSlot takes a turn to load, if one is free.
+// acquireSlot takes a load slot if one is free.
 func (o *rolloutController) acquireSlot() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -274,15 +276,15 @@
 	return true
 }
 
-// releaseSlot gives the turn back.
+// releaseSlot returns a load slot.
 func (o *rolloutController) releaseSlot() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.runningLoads--
 }
 
-// sendOrder gives one order, if the lease is held right before. It returns "" unless
-// the target surely did not take it.
+// sendOrder sends one order if the lease is held immediately before. It returns "" unless it is
+// certain that the target did not accept the order; then it returns the reason.
 func (o *rolloutController) sendOrder(ctx context.Context, model string, version uint64, t *catalog.Target, seq uint64) string {
 	token, held := o.awaitLease(ctx)
 	if !held {
@@ -292,43 +294,43 @@
 		return err.Error()
 	}
 	metric.Orders.Inc()
-	by := registry.Source{Channel: string(fromOrder), RequestSent: o.g.now()}
-	word, err := o.g.engines.Load(ctx, LoadOrder{Target: t.Name, Address: t.Address, Model: model, Version: version, Holder: o.g.settings().Name,
+	source := registry.Source{Channel: string(fromOrder), RequestSent: o.g.now()}
+	notice, err := o.g.engines.Load(ctx, LoadOrder{Target: t.Name, Address: t.Address, Model: model, Version: version, Holder: o.g.settings().Name,
 		Token: token, ExpectedSeq: seq, InterruptRuns: true})
-	word = noticeOf(word, err)
-	o.g.applyNotice(t, word, by)
+	notice = noticeOf(notice, err)
+	o.g.applyNotice(t, notice, source)
 	o.g.log.WithField("target", t.ID).WithField("model", model).WithField("version", version).WithField("token", token).
 		WithField("expected", seq).WithField("error", errText(err)).Info("load ordered")
-	o.deferLoads(t, word.Backoff)
-	var call *CallError
-	if errors.As(err, &call) && call.Status != 0 && call.Status != http.StatusConflict {
-		return "refused with status " + strconv.Itoa(call.Status)
+	o.deferLoads(t, notice.Backoff)
+	var callErr *CallError
+	if errors.As(err, &callErr) && callErr.Status != 0 && callErr.Status != http.StatusConflict {
+		return "refused with status " + strconv.Itoa(callErr.Status)
 	}
 	return ""
 }
 
-// awaitLoad asks for reports until the version is there.
+// awaitLoad polls reports until the version is loaded, and returns the outcome.
 func (o *rolloutController) awaitLoad(ctx context.Context, model string, version uint64, t *catalog.Target, seq uint64) string {
-	sent := o.g.now()
+	orderedAt := o.g.now()
 	wait.For(ctx, minLoadTime)
 	for wait.For(ctx, o.pollPause(t)) {
 		r, err := o.fetchReport(ctx, t)
-		var again *TargetRestartedError
-		var leaves *TargetLeavingError
-		if errors.As(err, &again) || errors.As(err, &leaves) {
+		var restarted *TargetRestartedError
+		var leaving *TargetLeavingError
+		if errors.As(err, &restarted) || errors.As(err, &leaving) {
 			return err.Error()
 		}
 		if err != nil {
-			continue // a report that is lost is asked for again, until the load's time is over
+			continue // a lost report is requested again until the load times out
 		}
 		if o.recordIfLoaded(r, model, version, t) {
 			return "done"
 		}
-		if !r.OrderInProgress && r.OrderSeq == seq && o.g.now().Sub(sent) > loadAcceptTime {
-			return "not taken"
+		if !r.OrderInProgress && r.OrderSeq == seq && o.g.now().Sub(orderedAt) > loadAcceptTime {
+			return "order not accepted"
 		}
 	}
-	return "given up"
+	return "timed out"
 }
 
 func errText(err error) string {
@@ -338,38 +340,38 @@
 	return err.Error()
 }
 
-// fetchReport asks a target for its report. That of another life than meant is a failure:
-// its orders and weights are not those of the one that is asked.
+// fetchReport requests a target's report. A report of another incarnation than the expected one
+// is a failure: its orders and weights are not those of the expected incarnation.
 func (o *rolloutController) fetchReport(ctx context.Context, t *catalog.Target) (Report, error) {
 	if err := o.checkServing(t); err != nil {
 		return Report{}, err
 	}
-	by := registry.Source{Channel: string(fromReport), RequestSent: o.g.now()}
+	source := registry.Source{Channel: string(fromReport), RequestSent: o.g.now()}
 	r, err := o.g.engines.Report(ctx, t.Address, t.Name)
 	if r.Start != 0 {
-		by.RequestSent = time.Time{} // it tells its life
+		source.RequestSent = time.Time{} // the report names its incarnation
 	}
-	word := noticeOf(r.Notice, err)
-	o.deferLoads(t, word.Backoff)
-	o.g.applyNotice(reportingIncarnation(t, r), word, by)
+	notice := noticeOf(r.Notice, err)
+	o.deferLoads(t, notice.Backoff)
+	o.g.applyNotice(reportingIncarnation(t, r), notice, source)
 	if err == nil && r.Start != 0 && t.Start != 0 && r.Start != t.Start {
 		return Report{}, &TargetRestartedError{Target: t.ID, Start: r.Start}
 	}
 	return r, err
 }
 
-// TargetRestartedError says that a target has started again since its entry was read.
+// TargetRestartedError says that a target has restarted since its entry was read.
 type TargetRestartedError struct {
-	Target string // the life that was meant
-	Start  int64  // of the one that answered, Unix ms
+	Target string // id of the expected incarnation
+	Start  int64  // of the incarnation that responded, Unix ms
 }
 
 // Error implements error.
 func (e *TargetRestartedError) Error() string {
-	return e.Target + " has started again at " + strconv.FormatInt(e.Start, 10)
+	return e.Target + " has restarted at " + strconv.FormatInt(e.Start, 10)
 }
 
-// recordIfLoaded says whether a report shows the version, and takes note of it.
+// recordIfLoaded reports whether a target's report shows the version, and records it if so.
 func (o *rolloutController) recordIfLoaded(r Report, model string, version uint64, t *catalog.Target) bool {
 	for _, m := range r.Models {
 		if m.Model == model && m.Version >= version {
--- a/internal/gateway/rollout_backoff_test.go
+++ b/internal/gateway/rollout_backoff_test.go
@@ -16,29 +16,29 @@
 	"github.com/shedhoist/shedhoist/internal/registry"
 )
 
-// countingEngines are targets that count the reports and orders that reach them.
+// countingEngines count the reports and orders that reach the targets.
 type countingEngines struct {
 	Engines
-	backoff         time.Duration // asked for as a report is refused; 0: reports are given
-	asked           func()        // called with each report; nil: nothing
-	orderBackoff    time.Duration // asked for as an order is refused; 0: orders are taken
-	notice          Notice        // of the reports that are given
-	loads           bool          // an order brings the weights at once
-	ordered         func()        // called with each order; nil: nothing
-	reports, orders int
+	backoff          time.Duration // requested as a report is refused; 0: reports succeed
+	onReport         func()        // called with each report; nil: nothing
+	orderBackoff     time.Duration // requested as an order is refused; 0: orders are accepted
+	notice           Notice        // of the reports that succeed
+	loadsImmediately bool          // an order loads the weights at once
+	onOrder          func()        // called with each order; nil: nothing
+	reports, orders  int
 }
 
 // Report implements Engines.
 func (e *countingEngines) Report(context.Context, string, string) (Report, error) {
 	e.reports++
-	if e.asked != nil {
-		e.asked()
+	if e.onReport != nil {
+		e.onReport()
 	}
 	if e.backoff > 0 {
 		return Report{}, &CallError{Call: "report", Status: http.StatusServiceUnavailable, Notice: Notice{Backoff: e.backoff}}
 	}
 	version := uint64(1)
-	if e.loads && e.orders > 0 {
+	if e.loadsImmediately && e.orders > 0 {
 		version = 2
 	}
 	return Report{Models: []catalog.ModelVersion{{Model: "m", Version: version}}, Notice: e.notice}, nil
@@ -47,8 +47,8 @@
 // Load implements Engines.
 func (e *countingEngines) Load(context.Context, LoadOrder) (Notice, error) {
 	e.orders++
-	if e.ordered != nil {
-		e.ordered()
+	if e.onOrder != nil {
+		e.onOrder()
 	}
 	if e.orderBackoff > 0 {
 		return Notice{}, &CallError{Call: "order", Status: http.StatusServiceUnavailable, Notice: Notice{Backoff: e.orderBackoff}}
@@ -56,113 +56,117 @@
 	return Notice{}, nil
 }
 
-// loadFleet is an instance that holds the lease and may load at one target.
+// loadFleet is an instance that holds the lease and may load weights at one target.
 type loadFleet struct {
 	*backoffFleet
 	o      *rolloutController
 	target *catalog.Target
 }
 
-// newLoadFleet plays such an instance.
-func newLoadFleet(t *testing.T, e *countingEngines, play func(is *is.I, f *loadFleet)) {
+// newLoadFleet runs a test on such a fleet under a fake clock.
+func newLoadFleet(t *testing.T, e *countingEngines, test func(is *is.I, f *loadFleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newBackoffFleet(t, 1, served)
 		defer f.end()
 		g := f.gateways[0]
 		g.engines = e
 		l := &loadFleet{backoffFleet: f, o: g.rollout}
-		for _, x := range g.view.Load().Targets {
-			l.target = x
+		for _, target := range g.view.Load().Targets {
+			l.target = target
 		}
 		l.o.mu.Lock()
 		l.o.maxLoads = 1
 		l.o.lease = rollout.NewLease(rollout.LeaseParams{Term: time.Hour, Margin: time.Minute, RenewInterval: time.Hour}, "e-0")
 		l.o.lease.WriteSucceeded(1, time.Now())
 		l.o.mu.Unlock()
-		play(is.New(t), l)
+		test(is.New(t), l)
 	})
 }
 
-// planned are the loads that are ordered next, while the target is behind.
-func (f *loadFleet) planned() []rollout.Load {
-	behind := *f.target
-	behind.Models = []catalog.ModelVersion{{Model: "m", Version: 1}}
+// planNextLoads returns the loads that are planned while the target is outdated.
+func (f *loadFleet) planNextLoads() []rollout.Load {
+	outdated := *f.target
+	outdated.Models = []catalog.ModelVersion{{Model: "m", Version: 1}}
 	v := *f.o.g.view.Load()
-	v.Targets = map[string]*catalog.Target{behind.ID: &behind}
+	v.Targets = map[string]*catalog.Target{outdated.ID: &outdated}
 	v.NamedVersions = map[string]NamedVersions{"m": {Newest: 2}}
 	return f.o.planLoads(&v)
 }
 
-// applyEvents brings a word of the target that came with an answer to a caller.
-func (f *loadFleet) applyEvents(w Notice) {
-	f.o.g.applyNotice(f.target, w, registry.Source{Channel: string(fromAnswer)})
+// applyCallerNotice applies a notice of the target that came with the response to a caller's
+// request.
+func (f *loadFleet) applyCallerNotice(notice Notice) {
+	f.o.g.applyNotice(f.target, notice, registry.Source{Channel: string(fromAnswer)})
 }
 
-// TestReportsWaitForBackoff guards against reports asked for in a rest that the target has asked for.
+// TestReportsWaitForBackoff guards against reports requested during a backoff that the target has
+// requested.
 func TestReportsWaitForBackoff(t *testing.T) {
-	const rest = 3 * time.Second
-	e := &countingEngines{backoff: rest}
+	const backoff = 3 * time.Second
+	e := &countingEngines{backoff: backoff}
 	newLoadFleet(t, e, func(is *is.I, f *loadFleet) {
-		ctx, cancel := context.WithTimeout(f.t.Context(), rest-time.Millisecond)
+		ctx, cancel := context.WithTimeout(f.t.Context(), backoff-time.Millisecond)
 		defer cancel()
 		_, err := f.o.fetchReport(ctx, f.target)
 		is.True(err != nil)
 		f.o.awaitLoad(ctx, "m", 2, f.target, 0)
-		is.Equal(e.reports, 1) // none in the rest
+		is.Equal(e.reports, 1) // none during the backoff
 	})
 }
 
-// TestLoadContinuesInBackoff guards against weights that come late since their target has asked a caller for
-// rest, and against more than a few reports in it.
+// TestLoadContinuesInBackoff guards against a load delayed by a backoff that the target requested in
+// the response to a caller, and against more than a few reports during the backoff.
 func TestLoadContinuesInBackoff(t *testing.T) {
-	const rest = 10 * time.Second
-	for name, asks := range map[string]func(e *countingEngines, f *loadFleet){
-		"before the report": func(_ *countingEngines, f *loadFleet) { f.applyEvents(Notice{Backoff: rest}) },
+	const backoff = 10 * time.Second
+	for name, arrange := range map[string]func(e *countingEngines, f *loadFleet){
+		"before the report": func(_ *countingEngines, f *loadFleet) { f.applyCallerNotice(Notice{Backoff: backoff}) },
 		"before the order": func(e *countingEngines, f *loadFleet) {
-			e.asked = sync.OnceFunc(func() { f.applyEvents(Notice{Backoff: rest}) })
+			e.onReport = sync.OnceFunc(func() { f.applyCallerNotice(Notice{Backoff: backoff}) })
+		},
+		"after the order": func(e *countingEngines, f *loadFleet) {
+			e.onOrder = func() { f.applyCallerNotice(Notice{Backoff: backoff}) }
 		},
-		"after the order": func(e *countingEngines, f *loadFleet) { e.ordered = func() { f.applyEvents(Notice{Backoff: rest}) } },
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := &countingEngines{loads: true}
+			e := &countingEngines{loadsImmediately: true}
 			newLoadFleet(t, e, func(is *is.I, f *loadFleet) {
-				asks(e, f)
-				began := time.Now()
+				arrange(e, f)
+				startedAt := time.Now()
 				is.Equal(f.o.performLoad(f.t.Context(), "m", 2, f.target), "done")
-				is.True(time.Since(began) <= cordonTime+minLoadTime+maxBackoffPoll)
+				is.True(time.Since(startedAt) <= cordonTime+minLoadTime+maxBackoffPoll)
 				is.Equal(e.orders, 1)
-				is.Equal(e.reports, 2) // before the order, and when the weights are there
+				is.Equal(e.reports, 2) // before the order, and when the weights are loaded
 			})
 		})
 	}
 }
 
-// TestLoadIsPlannedInBackoff guards against weights that never come since callers' requests renew a rest
-// again and again.
+// TestLoadIsPlannedInBackoff guards against weights that are never loaded because callers' requests
+// renew the backoff again and again.
 func TestLoadIsPlannedInBackoff(t *testing.T) {
 	newLoadFleet(t, &countingEngines{}, func(is *is.I, f *loadFleet) {
-		f.applyEvents(Notice{Backoff: time.Hour})
-		is.Equal(len(f.planned()), 1)
+		f.applyCallerNotice(Notice{Backoff: time.Hour})
+		is.Equal(len(f.planNextLoads()), 1)
 	})
 }
 
-// TestNoLoadIsPlannedAfterRefusal guards against targets that are closed, and turns that are taken, for
-// loads that would be refused again, and against a target that is held off for long.
+// TestNoLoadIsPlannedAfterRefusal guards against targets cordoned and load slots used for loads that
+// would be refused again, and against loads at a target being deferred for too long.
 func TestNoLoadIsPlannedAfterRefusal(t *testing.T) {
 	newLoadFleet(t, &countingEngines{backoff: time.Hour}, func(is *is.I, f *loadFleet) {
 		f.o.performLoad(f.t.Context(), "m", 2, f.target)
-		is.Equal(len(f.planned()), 0)
+		is.Equal(len(f.planNextLoads()), 0)
 		time.Sleep(maxDeferTime)
-		is.Equal(len(f.planned()), 1)
+		is.Equal(len(f.planNextLoads()), 1)
 	})
 }
 
-// TestReportsLeaveTimeToCallers guards against loads, planned one after the other, whose refused reports
-// renew a rest again and again, so that callers are refused.
+// TestReportsLeaveTimeToCallers guards against successive loads whose refused reports renew the
+// backoff again and again, so that callers are refused.
 func TestReportsLeaveTimeToCallers(t *testing.T) {
-	const during = 13 * time.Second
+	const duration = 13 * time.Second
 	newLoadFleet(t, &countingEngines{backoff: time.Second}, func(is *is.I, f *loadFleet) {
-		ctx, cancel := context.WithTimeout(f.t.Context(), during)
+		ctx, cancel := context.WithTimeout(f.t.Context(), duration)
 		defer cancel()
 		done := make(chan struct{})
 		go func() {
@@ -172,30 +176,31 @@
 			close(done)
 		}()
 		time.Sleep(time.Second)
-		answers := f.sendLoad(pathSafe, 100*time.Millisecond, during-time.Second)
+		responses := f.sendLoad(pathSafe, 100*time.Millisecond, duration-time.Second)
 		<-done
-		is.True(count(answers, backoffResponse.isLocal) <= len(answers)/2)
-		is.Equal(count(answers, backoffResponse.isLocal)+count(answers, func(a backoffResponse) bool { return a.status == http.StatusOK }), len(answers))
+		is.True(count(responses, backoffResponse.isLocal) <= len(responses)/2)
+		is.Equal(count(responses, backoffResponse.isLocal)+count(responses, func(a backoffResponse) bool { return a.status == http.StatusOK }), len(responses))
 	})
 }
 
-// TestLoadEndsAtLeavingTarget guards against reports and orders at a target that has said, since its load was planned, that it leaves.
+// TestLoadEndsAtLeavingTarget guards against reports and orders sent to a target that has announced,
+// since its load was planned, that it is leaving.
 func TestLoadEndsAtLeavingTarget(t *testing.T) {
-	leave := func(f *loadFleet) {
-		f.applyEvents(Notice{Leaving: true})
+	announceLeaving := func(f *loadFleet) {
+		f.applyCallerNotice(Notice{Leaving: true})
 		synctest.Wait()
 	}
-	gone := func(f *loadFleet) {
+	removeEntry := func(f *loadFleet) {
 		f.store.remove(memoryTargets, f.target.Name)
 		time.Sleep(time.Minute)
 	}
 	for name, c := range map[string]struct {
-		before, asked func(f *loadFleet) // called before the load, and in its first report
-		reports       int
+		before, onReport func(f *loadFleet) // called before the load, and in its first report
+		reports          int
 	}{
-		"says so before the report":            {before: leave},
-		"is gone before the report":            {before: gone},
-		"says so to a caller before the order": {asked: leave, reports: 1},
+		"announced before the report":            {before: announceLeaving},
+		"gone before the report":                 {before: removeEntry},
+		"announced to a caller before the order": {onReport: announceLeaving, reports: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := &countingEngines{}
@@ -203,49 +208,52 @@
 				if c.before != nil {
 					c.before(f)
 				}
-				if c.asked != nil {
-					e.asked = func() { c.asked(f) }
+				if c.onReport != nil {
+					e.onReport = func() { c.onReport(f) }
 				}
 				outcome := f.o.performLoad(f.t.Context(), "m", 2, f.target)
 				is.Equal(e.reports, c.reports)
 				is.Equal(e.orders, 0)
-				is.True(strings.Contains(outcome, "leaves or is gone"))
+				is.True(strings.Contains(outcome, "is leaving or gone"))
 			})
 		})
 	}
 }
 
-// TestLoadEndsAsReportSaysLeaving guards against an order that follows a report by which its target leaves.
+// TestLoadEndsAsReportSaysLeaving guards against an order sent after a report in which the target
+// announces that it is leaving.
 func TestLoadEndsAsReportSaysLeaving(t *testing.T) {
 	e := &countingEngines{notice: Notice{Leaving: true}}
 	newLoadFleet(t, e, func(is *is.I, f *loadFleet) {
-		is.True(strings.Contains(f.o.performLoad(f.t.Context(), "m", 2, f.target), "leaves or is gone"))
+		is.True(strings.Contains(f.o.performLoad(f.t.Context(), "m", 2, f.target), "is leaving or gone"))
 		is.Equal(e.reports, 1)
 		is.Equal(e.orders, 0)
 	})
 }
 
-// TestFollowedLoadEndsAtLeavingTarget guards against reports asked of a target that has said that it leaves after it took an order.
+// TestFollowedLoadEndsAtLeavingTarget guards against further reports requested from a target that
+// announces, after it accepted an order, that it is leaving.
 func TestFollowedLoadEndsAtLeavingTarget(t *testing.T) {
 	e := &countingEngines{notice: Notice{Leaving: true}}
 	newLoadFleet(t, e, func(is *is.I, f *loadFleet) {
 		outcome := f.o.awaitLoad(f.t.Context(), "m", 2, f.target, 0)
-		is.True(strings.Contains(outcome, "leaves or is gone"))
+		is.True(strings.Contains(outcome, "is leaving or gone"))
 		is.Equal(e.reports, 1)
 	})
 }
 
-// TestRefusedOrderIsNotRepeatedAtOnce guards against loads, planned one after the other, whose refused orders renew a rest again and again.
+// TestRefusedOrderIsNotRepeatedAtOnce guards against successive loads whose refused orders renew the
+// backoff again and again.
 func TestRefusedOrderIsNotRepeatedAtOnce(t *testing.T) {
-	const rest, during = time.Second, 12 * time.Second
-	e := &countingEngines{orderBackoff: rest}
+	const backoff, duration = time.Second, 12 * time.Second
+	e := &countingEngines{orderBackoff: backoff}
 	newLoadFleet(t, e, func(is *is.I, f *loadFleet) {
-		ctx, cancel := context.WithTimeout(f.t.Context(), during)
+		ctx, cancel := context.WithTimeout(f.t.Context(), duration)
 		defer cancel()
 		for ctx.Err() == nil {
 			f.o.performLoad(ctx, "m", 2, f.target)
 		}
 		is.True(e.orders > 1)
-		is.True(e.orders <= int(during/(deferFactor*rest)))
+		is.True(e.orders <= int(duration/(deferFactor*backoff)))
 	})
 }
