--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,10 +1,10 @@
-// Package gateway is an entry instance on a platform whose operators declare
-// routes, services and customers in an object store: requests are passed on byte
-// for byte to the service that their route names. It decides; what things are
-// called outside is the business of a Codec.
+// Package gateway implements an entry instance on a platform whose operators declare
+// routes, services and customers in an object store. Requests are forwarded byte for byte to
+// the service that their route names. The package makes the decisions; a Codec knows the
+// headers and object formats of the platform.
 //
-// One control goroutine owns what the instance believes and publishes an
-// immutable view; request goroutines read it.
+// One control goroutine owns the instance's state and publishes it as an immutable view, which
+// request goroutines read.
 package gateway
 
 import (
@@ -36,13 +36,13 @@
 	"github.com/shedhoist/shedhoist/internal/wait"
 )
 
-// Ports are the outside parties, by adapters.
+// Ports are the adapters to everything outside the process.
 type Ports struct {
 	Codec   Codec
 	Store   platform.KindStore
 	Engines Engines
-	// Listen opens a listener and Dial a connection to a peer or a target, nil: on the network
-	// of this machine. A test gives links of its own.
+	// Listen opens a listener, and Dial a connection to a peer or a target; nil: on the network
+	// of this machine. Tests set them to an in-memory network.
 	Listen func(address string) (net.Listener, error)
 	Dial   peer.Dial
 }
@@ -67,41 +67,41 @@
 	initialized      chan struct{}
 	initializedOnce  sync.Once
 	storeReachable   atomic.Bool
-	lastStoreContact atomic.Int64 // when the object store answered last, ns after began
+	lastStoreContact atomic.Int64 // when the object store answered last, ns after startedAt
 	startedAt        time.Time
-	// lastPeerContact is when a peer answered last, ns after began.
+	// lastPeerContact is when a peer answered last, ns after startedAt.
 	lastPeerContact atomic.Int64
-	staleness       *staleness.Tracker // ages of the copies of what the object store holds
-	// failing has the kinds about which the store does not answer.
+	staleness       *staleness.Tracker // of this instance's copies of the object store's contents
+	// failingKinds has the kinds for which calls to the store fail.
 	failingMu      sync.Mutex
 	failingKinds   map[string]bool
-	syncingMembers atomic.Bool               // all members are being asked for
-	catchingUp     atomic.Bool               // news are being taken from a peer
-	aheadPeer      atomic.Pointer[aheadPeer] // a peer that knows more and was not asked yet
-	// targetsDue has the targets' changes taken from the object store once, though this
-	// instance goes by news.
+	syncingMembers atomic.Bool               // the list of all members is being requested
+	catchingUp     atomic.Bool               // updates are being fetched from a peer
+	aheadPeer      atomic.Pointer[aheadPeer] // a peer with newer state that was not asked for it yet
+	// targetsDue has the targets' changes read from the object store once, though this instance
+	// relies on its peers' updates.
 	targetsDue wait.Signal
 	// versionsDue is the same for the named versions.
 	versionsDue wait.Signal
 	// evacuationsDue is the same for the evacuated zones.
 	evacuationsDue wait.Signal
-	// configDue wakes fetchConfigs.
+	// configDue wakes up fetchConfigs.
 	configDue       wait.Signal
-	configReceivers configReceivers // of the configuration
+	configReceivers configReceivers // peers that fetch the configuration here
 	pool            *peer.Pool
 	peers           *peer.Server
 
 	upstream      *upstream
 	crashDetector *crashDetector
-	// quarantine is what is known of requests under which targets crashed.
+	// quarantine tracks requests during which targets crashed.
 	quarantine      *quarantine.Tracker
 	suspectsDue     wait.Signal
 	suspectsOutbox  outbox
 	outboxDue       wait.Signal
-	suspectsUnsaved atomic.Bool    // the object store is to be told
-	lastCompared    atomic.Int64   // when they were last compared with a peer's, ns after began
-	warmup          warmup.Limiter // what is sent to cold targets
-	zoneMonitor     zoneMonitor    // zones that are silent as a whole
+	suspectsUnsaved atomic.Bool    // suspects have changed since they were written to the object store
+	lastCompared    atomic.Int64   // when suspects were last compared with a peer's, ns after startedAt
+	warmup          warmup.Limiter // limits requests to targets that are warming up
+	zoneMonitor     zoneMonitor    // zones that are unreachable as a whole
 	breaker         *breaker.Set   // targets whose requests fail
 	retryBudgets    retryBudgets
 	// predictor is shared by all requests.
@@ -114,17 +114,17 @@
 	cache            *cacheDirectory
 	rollout          *rolloutController
 	inFlight         atomic.Int64
-	stopTimes        atomic.Pointer[drain.Schedule] // nil: it does not stop
+	stopTimes        atomic.Pointer[drain.Schedule] // of the stop in progress; nil: none
 
-	successSampler, saveSampler sampler // of log lines
+	successSampler, saveSampler sampler // limit the rate of log lines
 
 	callerLn, readyLn, peerLn, metricsLn net.Listener
 	callerConns                          drain.Conns
 	callerSrv, readySrv, metricsSrv      *http.Server
 }
 
-// New listens on all addresses of the settings, and starts nothing else. A
-// failure leaves nothing open.
+// New opens listeners on all addresses of the settings and starts nothing else. If it fails,
+// it leaves nothing open.
 func New(set *Settings, ports Ports, logger log.Interface) (*Gateway, error) {
 	g := &Gateway{log: logger.WithField("instance", set.Name).WithField("zone", set.Zone), now: time.Now, codec: ports.Codec, store: ports.Store,
 		engines: ports.Engines, events: make(chan event, eventQueueSize), controlDone: make(chan struct{}), targetsDue: wait.NewSignal(), versionsDue: wait.NewSignal(), evacuationsDue: wait.NewSignal(), configDue: wait.NewSignal(), initialized: make(chan struct{}), failingKinds: map[string]bool{}}
@@ -142,7 +142,7 @@
 	g.cache = newCacheDirectory(g)
 	g.rollout = newRolloutController(g)
 	g.retryBudgets.g = g
-	g.storeReachable.Store(true) // until a call says otherwise
+	g.storeReachable.Store(true) // until a call fails
 	if ports.Listen == nil {
 		ports.Listen = netx.Listen
 	}
@@ -157,21 +157,21 @@
 // settings returns the settings in force.
 func (g *Gateway) settings() *Settings { return g.currentSettings.Load() }
 
-// Reload takes changed settings. Addresses and names stay: they belong to the
-// machine, which a running process does not change.
+// Reload applies changed settings. Addresses and names stay as they are: they belong to the
+// machine, which does not change under a running process.
 func (g *Gateway) Reload(next *Settings) {
-	now := *g.settings()
-	now.Seeds, now.Retry, now.StopWithin = next.Seeds, next.Retry, next.StopWithin
-	g.currentSettings.Store(&now)
-	g.log.WithField("seeds", now.Seeds).Info("settings reloaded")
+	merged := *g.settings()
+	merged.Seeds, merged.Retry, merged.StopWithin = next.Seeds, next.Retry, next.StopWithin
+	g.currentSettings.Store(&merged)
+	g.log.WithField("seeds", merged.Seeds).Info("settings reloaded")
 }
 
 func (g *Gateway) seeds() []string { return g.settings().Seeds }
 
-// Bounds of the callers' listener that hold whatever the configuration says.
+// Limits of the callers' listener, independent of the configuration.
 const (
 	headerTimeout  = 10 * time.Second
-	idleTimeout    = 120 * time.Second // above any idle limit that callers are told
+	idleTimeout    = 120 * time.Second // above any idle limit announced to callers
 	maxHeaderBytes = 64 << 10          // bytes
 )
 
@@ -194,17 +194,17 @@
 			return err
 		}
 	}
-	quiet := logline.Logger(g.log)
+	errorLog := logline.Logger(g.log)
 	idle := &idleConns{limit: g.idleLimit}
 	g.callerSrv = &http.Server{Handler: http.HandlerFunc(g.serveCaller), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
-		MaxHeaderBytes: maxHeaderBytes, ErrorLog: quiet, ConnState: idle.state}
+		MaxHeaderBytes: maxHeaderBytes, ErrorLog: errorLog, ConnState: idle.onStateChange}
 	g.callerConns.Attach(g.callerSrv)
-	g.readySrv = &http.Server{Handler: http.HandlerFunc(g.serveReady), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ErrorLog: quiet}
-	g.metricsSrv = &http.Server{Handler: http.HandlerFunc(g.serveMetrics), ReadHeaderTimeout: headerTimeout, ErrorLog: quiet}
+	g.readySrv = &http.Server{Handler: http.HandlerFunc(g.serveReady), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ErrorLog: errorLog}
+	g.metricsSrv = &http.Server{Handler: http.HandlerFunc(g.serveMetrics), ReadHeaderTimeout: headerTimeout, ErrorLog: errorLog}
 	return nil
 }
 
-// idleLimit is the configuration's limit on unused connections; 0 is none.
+// idleLimit returns the configured idle timeout of callers' connections; 0: none.
 func (g *Gateway) idleLimit() time.Duration {
 	if cfg := g.view.Load().Config; cfg != nil {
 		return cfg.Limits.IdleTimeout
@@ -220,16 +220,16 @@
 	}
 }
 
-// CallerAddr, ReadyAddr and PeerAddr are the addresses listened on.
+// CallerAddr returns the address of the callers' listener.
 func (g *Gateway) CallerAddr() string { return g.callerLn.Addr().String() }
 
-// ReadyAddr is the balancer's listener.
+// ReadyAddr returns the address of the readiness listener, which the balancer polls.
 func (g *Gateway) ReadyAddr() string { return g.readyLn.Addr().String() }
 
-// PeerAddr is the peers' listener.
+// PeerAddr returns the address of the peers' listener.
 func (g *Gateway) PeerAddr() string { return g.peerLn.Addr().String() }
 
-// spawn runs f on a goroutine that a shutdown waits for.
+// spawn runs f on a goroutine that Shutdown waits for.
 func (g *Gateway) spawn(f func()) {
 	g.goroutines.Add(1)
 	go func() {
@@ -238,13 +238,13 @@
 	}()
 }
 
-// Start begins to serve.
+// Start starts all background goroutines and begins to serve.
 func (g *Gateway) Start() {
 	set := g.settings()
 	params := member.DefaultParams
 	params.Period = peerPeriod
-	// The first incarnation is 1, not a time of day: one that lived before under
-	// this name is refuted as soon as a peer tells of it.
+	// The first incarnation is 1, not a timestamp: a former incarnation under this name is
+	// refuted as soon as a peer reports it.
 	self := member.Member{Name: set.Name, Address: g.PeerAddr(), Zone: set.Zone, Incarnation: 1}
 	c := &controlState{log: g.log, now: g.now, named: map[string]NamedVersions{}, members: member.New(params, self, rand.IntN), storeReachable: true, rolloutWithin: set.RolloutWithin, configWithin: set.ConfigWithin,
 		followsEvacuations: set.EvacuateWithin > 0,
@@ -264,25 +264,25 @@
 	g.log.WithField("callers", g.CallerAddr()).WithField("peers", g.PeerAddr()).WithField("store", set.PlatformAddress).Info("started")
 }
 
-func (g *Gateway) serveListener(what string, f func() error) {
+func (g *Gateway) serveListener(name string, f func() error) {
 	go func() {
 		if err := f(); err != nil && !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) && g.ctx.Err() == nil {
-			g.log.WithError(err).WithField("listener", what).Error("listener ended")
+			g.log.WithError(err).WithField("listener", name).Error("listener failed")
 		}
 	}()
 }
 
-// Ready says whether this instance should get new connections: it has a
-// configuration and a list of targets, is not cut off, and does not stop.
+// Ready reports whether this instance should get new connections: it has a
+// configuration and a list of targets, is not isolated, and is not stopping.
 func (g *Gateway) Ready() bool {
 	v := g.view.Load()
 	return v.initialized() && !v.Isolated && !v.Draining
 }
 
-// forgetGoneEvery is how often what is known of targets that are gone is forgotten.
+// forgetGoneEvery is how often the state kept for targets that are gone is removed.
 const forgetGoneEvery = 10 * time.Second
 
-// forgetGone forgets targets and stores that are no more.
+// forgetGone periodically removes the state kept for targets and cache stores that are gone.
 func (g *Gateway) forgetGone(ctx context.Context) {
 	for wait.For(ctx, wait.Jitter(forgetGoneEvery)) {
 		v := g.view.Load()
@@ -305,12 +305,12 @@
 	}
 }
 
-// sinceStoreContact is how long ago the object store answered last.
+// sinceStoreContact returns the time since the object store answered last.
 func (g *Gateway) sinceStoreContact() time.Duration {
 	return g.now().Sub(g.startedAt) - time.Duration(g.lastStoreContact.Load())
 }
 
-// Alive is the number of live instances known of, this one included.
+// Alive returns the number of known live instances, including this one.
 func (g *Gateway) Alive() int { return len(g.view.Load().Alive) }
 
 func (g *Gateway) serveReady(w http.ResponseWriter, _ *http.Request) {
@@ -319,7 +319,7 @@
 	}
 }
 
-// serveMetrics writes all metrics, and the ages of what this instance believes.
+// serveMetrics writes all metrics, including gauges of this instance's current state.
 func (g *Gateway) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	v := g.view.Load()
 	metric.SetGauge("shedhoist_config_version", float64(g.configVersion()))
@@ -351,7 +351,7 @@
 	return 0
 }
 
-// Kill ends everything at once and tells nobody.
+// Kill closes everything immediately, without a notice to peers or callers.
 func (g *Gateway) Kill() {
 	g.cancel()
 	g.callerSrv.Close()
--- a/internal/gateway/idle_conns_test.go
+++ b/internal/gateway/idle_conns_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-// fakeConn notes that it was closed.
+// fakeConn records that it was closed.
 type fakeConn struct {
 	net.Conn
 	closed atomic.Bool
@@ -22,29 +22,31 @@
 	return nil
 }
 
-// TestIdleConns guards against a connection closed under a request, or kept unused beyond the limit of its time.
+// TestIdleConns guards against a connection that is closed during a request, or stays idle beyond the
+// configured limit.
 func TestIdleConns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		limit := 4 * time.Second
 		c := &idleConns{limit: func() time.Duration { return limit }}
 		unused, used := &fakeConn{}, &fakeConn{}
-		c.state(unused, http.StateIdle)
-		c.state(used, http.StateIdle)
+		c.onStateChange(unused, http.StateIdle)
+		c.onStateChange(used, http.StateIdle)
 		time.Sleep(4 * time.Second)
 		is.True(!unused.closed.Load()) // within the slack
-		c.state(used, http.StateActive)
+		c.onStateChange(used, http.StateActive)
 		time.Sleep(time.Minute)
 		is.True(unused.closed.Load())
 		is.True(!used.closed.Load())
 		limit = 0
-		c.state(used, http.StateIdle)
+		c.onStateChange(used, http.StateIdle)
 		time.Sleep(time.Hour)
 		is.True(!used.closed.Load())
 	})
 }
 
-// TestLearnKeepAlive guards against connections kept for longer than targets keep theirs, or closed without need.
+// TestLearnKeepAlive guards against idle connections that are kept for longer than the targets keep
+// them, or closed needlessly early.
 func TestLearnKeepAlive(t *testing.T) {
 	is := is.New(t)
 	u := newUpstream()
@@ -54,14 +56,14 @@
 	is.Equal(idle("a"), minTargetIdleTimeout)
 	u.learnKeepAlive("a", 0)
 	is.Equal(idle("a"), minTargetIdleTimeout)
-	for _, said := range []time.Duration{time.Hour, 10 * time.Second, 5 * time.Second, 30 * time.Second} {
-		u.learnKeepAlive("a", said)
-		is.True(idle("a") <= min(said-idleCloseMargin, maxTargetIdleTimeout))
+	for _, announced := range []time.Duration{time.Hour, 10 * time.Second, 5 * time.Second, 30 * time.Second} {
+		u.learnKeepAlive("a", announced)
+		is.True(idle("a") <= min(announced-idleCloseMargin, maxTargetIdleTimeout))
 	}
 	is.True(idle("a") > 3*time.Second)
 	is.Equal(idle("b"), minTargetIdleTimeout)
 	u.learnKeepAlive("a", time.Second)
 	is.Equal(idle("a"), minTargetIdleTimeout)
 	u.learnKeepAlive("b", time.Second)
-	is.Equal(u.keepAliveClient("a"), u.keepAliveClient("b")) // one for equal times
+	is.Equal(u.keepAliveClient("a"), u.keepAliveClient("b")) // services with equal timeouts share a client
 }
--- a/internal/gateway/log.go
+++ b/internal/gateway/log.go
@@ -11,26 +11,26 @@
 	"github.com/apex/log/handlers/json"
 )
 
-// logQueue is how many lines wait for a reader that is slow.
-const logQueue = 4096
+// logQueueSize is how many lines are queued for a slow reader.
+const logQueueSize = 4096
 
-// LogWriter hands lines to a writer without ever waiting for it: when too many
-// wait, further ones are left out and counted.
+// LogWriter passes lines to a writer without ever blocking on it: when its queue is full, it
+// drops further lines and counts them.
 type LogWriter struct {
-	lines   chan []byte
-	dropped atomic.Int64
-	ended   chan struct{}
-	once    sync.Once
+	lines     chan []byte
+	dropped   atomic.Int64
+	done      chan struct{}
+	closeOnce sync.Once
 }
 
-// NewLogWriter starts to write to w.
+// NewLogWriter returns a LogWriter that writes to w until it is closed.
 func NewLogWriter(w io.Writer) *LogWriter {
-	l := &LogWriter{lines: make(chan []byte, logQueue), ended: make(chan struct{})}
+	l := &LogWriter{lines: make(chan []byte, logQueueSize), done: make(chan struct{})}
 	go l.run(w)
 	return l
 }
 
-// Write implements io.Writer: p is one line.
+// Write implements io.Writer; p is one line. It never fails.
 func (l *LogWriter) Write(p []byte) (int, error) {
 	select {
 	case l.lines <- bytes.Clone(p):
@@ -41,52 +41,52 @@
 }
 
 func (l *LogWriter) run(w io.Writer) {
-	defer close(l.ended)
+	defer close(l.done)
 	logger := &log.Logger{Level: log.InfoLevel, Handler: json.New(w)}
 	for line := range l.lines {
-		_, _ = w.Write(line) // nobody is left to be told of a failure
+		_, _ = w.Write(line) // there is nowhere left to report a failure
 		if n := l.dropped.Swap(0); n > 0 {
 			logger.WithField("lines", n).Warn("log lines left out, the reader is slow")
 		}
 	}
 }
 
-// Close writes what waits. No line may be written after it.
+// Close writes the queued lines. No line may be written after it.
 func (l *LogWriter) Close() {
-	l.once.Do(func() { close(l.lines) })
-	<-l.ended
+	l.closeOnce.Do(func() { close(l.lines) })
+	<-l.done
 }
 
-// maxSuccessLines is how many requests a second get their line if all is well with
-// them. Failures always do.
+// maxSuccessLines is how many successful requests per second are logged. Failures are always
+// logged.
 const maxSuccessLines = 100
 
-// sampler lets a number of lines through each second and counts the others.
+// sampler allows maxSuccessLines lines per second and counts the others.
 type sampler struct {
-	mu      sync.Mutex
-	second  time.Time
-	written int
-	dropped int64 // left out since the last line
+	mu          sync.Mutex
+	windowStart time.Time
+	written     int
+	dropped     int64 // since the last line that was allowed
 }
 
-// allow says whether a line may be written at now, and how many were left out
-// since the last one that was.
-func (s *sampler) allow(now time.Time) (ok bool, leftOut int64) {
+// allow reports whether a line may be written at now, and if so how many were dropped since the
+// previous one.
+func (s *sampler) allow(now time.Time) (ok bool, dropped int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now.Sub(s.second) >= time.Second {
-		s.second, s.written = now, 0
+	if now.Sub(s.windowStart) >= time.Second {
+		s.windowStart, s.written = now, 0
 	}
 	if s.written >= maxSuccessLines {
 		s.dropped++
 		return false, 0
 	}
 	s.written++
-	leftOut, s.dropped = s.dropped, 0
-	return true, leftOut
+	dropped, s.dropped = s.dropped, 0
+	return true, dropped
 }
 
-// NewLogger returns a logger of JSON lines.
+// NewLogger returns a logger that writes JSON lines.
 func NewLogger(w io.Writer) *log.Logger {
 	return &log.Logger{Level: log.InfoLevel, Handler: json.New(w)}
 }
--- a/internal/gateway/log_test.go
+++ b/internal/gateway/log_test.go
@@ -8,7 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// TestSampler: so many lines a second, and the rest is counted.
+// TestSampler guards against more than maxSuccessLines lines per second, and against dropped lines
+// that are not counted.
 func TestSampler(t *testing.T) {
 	is := is.New(t)
 	var s sampler
@@ -17,34 +18,34 @@
 		ok, _ := s.allow(now)
 		is.Equal(ok, i < maxSuccessLines)
 	}
-	ok, left := s.allow(now.Add(time.Second))
+	ok, dropped := s.allow(now.Add(time.Second))
 	is.True(ok)
-	is.Equal(left, int64(5))
+	is.Equal(dropped, int64(5))
 }
 
-// stuckWriter blocks until it is released.
+// stuckWriter blocks until it is released, then records what is written.
 type stuckWriter struct {
 	release chan struct{}
-	got     strings.Builder
+	written strings.Builder
 }
 
 func (w *stuckWriter) Write(p []byte) (int, error) {
 	<-w.release
-	return w.got.Write(p)
+	return w.written.Write(p)
 }
 
-// TestLogNeverBlocks: lines that a stuck reader leaves no room for are left out,
-// and counted once it reads on.
+// TestLogNeverBlocks guards against a log writer that blocks while its reader is stuck: lines beyond
+// the queue are dropped, and their number is logged once the reader continues.
 func TestLogNeverBlocks(t *testing.T) {
 	is := is.New(t)
 	w := &stuckWriter{release: make(chan struct{})}
 	l := NewLogWriter(w)
-	for range 2 * logQueue {
+	for range 2 * logQueueSize {
 		_, err := l.Write([]byte("line\n"))
 		is.NoErr(err)
 	}
 	close(w.release)
 	l.Close()
-	is.True(strings.Contains(w.got.String(), "log lines left out"))
-	is.True(strings.Count(w.got.String(), "line\n") <= logQueue+1)
+	is.True(strings.Contains(w.written.String(), "log lines left out"))
+	is.True(strings.Count(w.written.String(), "line\n") <= logQueueSize+1)
 }
--- a/internal/gateway/main.go
+++ b/internal/gateway/main.go
@@ -26,18 +26,18 @@
 	ExitOK       = 0
 	ExitFailed   = 1 // could not start, for example an address in use
 	ExitSettings = 2 // the settings are wrong; nothing was started
-	ExitCut      = 3 // the stop cut requests in hand
+	ExitCut      = 3 // the stop aborted requests in flight
 )
 
-// StartOptions is what a process is started with.
+// StartOptions says how to start a process.
 type StartOptions struct {
-	LoadSettings func() (*Settings, error) // reads the settings, again on SIGHUP
-	NewPorts     func(*Settings) Ports
-	// Without names the mechanisms that an experiment leaves out, see policy.Names.
+	LoadSettings func() (*Settings, error) // reads the settings; called again on SIGHUP
+	NewPorts     func(*Settings) Ports     // makes the adapters
+	// Without names the mechanisms that an experiment disables, see policy.Names.
 	Without []string
 }
 
-// loadSettings reads the settings, and leaves out what an experiment leaves out.
+// loadSettings reads the settings and disables the mechanisms named by Without.
 func (s StartOptions) loadSettings() (*Settings, error) {
 	set, err := s.LoadSettings()
 	if err != nil {
@@ -47,16 +47,16 @@
 	return set, err
 }
 
-// settingsPollInterval is how often the settings file is looked at: it may change
-// without a signal.
+// settingsPollInterval is how often the settings are read again: they may change without a
+// signal.
 const settingsPollInterval = 2 * time.Second
 
-// reloadChanged takes settings that changed without a signal.
+// reloadChanged polls the settings and applies those that changed without a signal.
 func reloadChanged(g *Gateway, s StartOptions, logger log.Interface, last Settings) {
 	for wait.For(g.ctx, settingsPollInterval) {
 		next, err := s.loadSettings()
 		if err != nil {
-			logger.WithError(err).Warn("settings not readable, those before stay in force")
+			logger.WithError(err).Warn("failed to read the settings, the previous ones stay in force")
 			continue
 		}
 		if reflect.DeepEqual(*next, last) {
@@ -67,7 +67,7 @@
 	}
 }
 
-// Main runs the command with its arguments and returns the exit code, see Run.
+// Main runs the command with the given arguments and returns the exit code, see Run.
 func Main(s StartOptions, args []string, stdout, stderr io.Writer) int {
 	code := ExitOK
 	cmd := &cobra.Command{
@@ -82,7 +82,7 @@
 			return nil
 		},
 	}
-	cmd.Flags().StringSliceVar(&s.Without, "without", nil, "for experiments: mechanisms to leave out, of "+strings.Join(policy.Names(), ", "))
+	cmd.Flags().StringSliceVar(&s.Without, "without", nil, "for experiments: mechanisms to disable, of "+strings.Join(policy.Names(), ", "))
 	cmd.SetArgs(args)
 	cmd.SetOut(stdout)
 	cmd.SetErr(stderr)
@@ -93,24 +93,24 @@
 	return code
 }
 
-// Run serves until a signal ends it and returns the exit code. SIGTERM and
-// SIGINT stop it, a second one at once; SIGHUP reloads the settings.
+// Run serves until a signal stops it and returns the exit code. SIGTERM and SIGINT stop it
+// gracefully, a second one immediately; SIGHUP reloads the settings.
 func Run(s StartOptions, stdout io.Writer) int {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	defer signal.Stop(signals)
-	lines := NewLogWriter(stdout)
-	defer lines.Close()
-	logger := NewLogger(lines)
+	logWriter := NewLogWriter(stdout)
+	defer logWriter.Close()
+	logger := NewLogger(logWriter)
 	logline.Capture(logger)
 	set, err := s.loadSettings()
 	if err != nil {
-		logger.WithError(err).Error("settings refused")
+		logger.WithError(err).Error("invalid settings")
 		return ExitSettings
 	}
 	g, err := New(set, s.NewPorts(set), logger)
 	if err != nil {
-		logger.WithError(err).Error("not started")
+		logger.WithError(err).Error("failed to start")
 		return ExitFailed
 	}
 	g.Start()
@@ -121,7 +121,7 @@
 		}
 		next, err := s.loadSettings()
 		if err != nil {
-			logger.WithError(err).Error("settings refused, those before stay in force")
+			logger.WithError(err).Error("invalid settings, the previous ones stay in force")
 			continue
 		}
 		g.Reload(next)
@@ -136,8 +136,8 @@
 			}
 		}
 	}()
-	var cut *CutError
-	if err := g.Shutdown(ctx); errors.As(err, &cut) {
+	var aborted *CutError
+	if err := g.Shutdown(ctx); errors.As(err, &aborted) {
 		return ExitCut
 	}
 	return ExitOK
--- a/internal/gateway/ports.go
+++ b/internal/gateway/ports.go
@@ -10,40 +10,40 @@
 	"github.com/shedhoist/shedhoist/internal/core/cachestore"
 )
 
-// Codec is the dialect of callers, servers and operators. It translates and
-// decides nothing.
+// Codec translates the headers of callers and targets and the objects of operators to and from
+// the types of this package. It makes no decisions.
 type Codec interface {
-	// Kinds names the kinds of objects that are followed.
+	// Kinds returns the names of the kinds of objects that are watched.
 	Kinds() (config, targets, versions string)
-	// EvacuationsKind names the kind whose objects evacuate the zones of their names. It is
-	// asked for only where operators evacuate zones.
+	// EvacuationsKind returns the name of the kind in which each object evacuates the zone of the
+	// same name. It is called only where operators evacuate zones.
 	EvacuationsKind() string
-	// ConfigName names the one object of its kind that holds the configuration.
+	// ConfigName returns the name of the one object of its kind that holds the configuration.
 	ConfigName() string
-	// Config, Target and DecodeNamedVersion decode an object's value.
+	// DecodeConfig, DecodeTarget and DecodeNamedVersion decode an object's value.
 	DecodeConfig(value []byte) (*catalog.Config, error)
 	DecodeTarget(name string, value []byte) (catalog.Target, error)
 	DecodeNamedVersion(name string, value []byte) (catalog.ModelVersion, error)
 
-	// ParseRequest decodes a caller's header.
+	// ParseRequest decodes the header of a caller's request.
 	ParseRequest(h http.Header) (CallerRequest, error)
-	// ForwardHeader is the header of an attempt at a target: the caller's, without
-	// what concerns its connection and what only we may set.
+	// ForwardHeader returns the header of an attempt at a target: the caller's, without
+	// hop-by-hop fields and fields that only the gateway may set, plus those of the attempt.
 	ForwardHeader(in http.Header, a Attempt) http.Header
-	// ParseResponse decodes a target's answer.
+	// ParseResponse decodes the header of a target's response.
 	ParseResponse(status int, h http.Header) TargetResponse
-	// CallerResponseHeader is a target's header as the caller gets it.
+	// CallerResponseHeader returns the header of a target's response as sent to the caller.
 	CallerResponseHeader(in http.Header) http.Header
-	// ProblemHeader completes the header of an answer of our own.
+	// ProblemHeader completes the header of a problem response of the gateway itself.
 	ProblemHeader(h http.Header, id string, retryAfter time.Duration)
 }
 
-// CallerRequest is what a caller's header says.
+// CallerRequest is the decoded header of a caller's request.
 type CallerRequest struct {
 	ID          string
 	APIKey      string
-	Timeout     time.Duration // how long the caller waits; 0: not said
-	LastEventID string        // the caller goes on behind this event of a broken stream
+	Timeout     time.Duration // how long the caller waits; 0: not specified
+	LastEventID string        // the caller resumes a broken stream after this event
 	Prompt      *Prompt       // nil: a plain request
 }
 
@@ -55,9 +55,9 @@
 	Parts     []Part // in order; the last is the request's own
 }
 
-// memoryTokens is how much of a target's memory the request will keep while it runs, in tokens:
-// its prompt, and half of the longest answer, since callers ask for twice what most get.
-// 0 for a plain request.
+// memoryTokens returns how much of a target's memory the request occupies while it runs, in tokens:
+// its prompt and half of the maximum output, since callers request twice what most receive.
+// It is 0 for a plain request.
 func (c *CallerRequest) memoryTokens() int {
 	if c.Prompt == nil {
 		return 0
@@ -65,18 +65,18 @@
 	return c.Prompt.Tokens + c.Prompt.MaxOutput/2
 }
 
-// Part is one part of a prompt. Equal ids are equal text.
+// Part is one part of a prompt. Parts with equal IDs have equal text.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Attempt is what a target is told beyond the caller's words.
+// Attempt is what an attempt adds to the caller's header.
 type Attempt struct {
-	Target      string // name of the one that is meant
+	Target      string // name of the intended target
 	Customer    string // "": none
 	Remaining   time.Duration
-	LastEventID string // go on behind this event
+	LastEventID string // resume the stream after this event
 	Model       *ModelAttempt
 }
 
@@ -85,91 +85,93 @@
 	Priority     int // 0 is the most urgent
 	Version      uint64
 	Salt         string
-	Cache        []PartPlan // one for each part; empty: nothing to fetch or keep
-	FetchUntilMS int64      // on the servers' clock: a fetch not done by then is given up
+	Cache        []PartPlan // one for each part; empty: nothing to fetch or save
+	FetchUntilMS int64      // on the servers' clock: a fetch not done by then is abandoned
 }
 
-// PartPlan says where one part comes from and where it is kept.
+// PartPlan says from where one part's cache is fetched and where it is saved.
 type PartPlan struct {
 	FetchFrom   string // address; "": nowhere
 	FetchTokens int
 	SaveTo      string // address; "": nowhere
 }
 
-// TargetResponse is what the header of a target's answer says.
+// TargetResponse is the decoded header of a target's response.
 type TargetResponse struct {
 	ID               string
-	Signed           bool // the target vouches for it as an answer to a request
+	Signed           bool // the target confirms it as a response to a request
 	NotExecuted      bool // the request did not run and never will
 	Misdirected      bool // another incarnation, or other weights, than meant
-	Encoded          bool // something on the way changed the body's encoding
+	Encoded          bool // an intermediary changed the body's encoding
 	WeightVersion    uint64
 	RetryAfter       time.Duration
-	KeepAliveTimeout time.Duration // how long the target keeps an unused connection; 0: not said
+	KeepAliveTimeout time.Duration // how long the target keeps an idle connection open; 0: not specified
 	Notice           Notice
 }
 
-// Notice is what a target says of itself in the header of any answer.
+// Notice is what a target announces about itself in the header of any response.
 type Notice struct {
-	Leaving bool          // it takes no new requests
-	Backoff time.Duration // it turned this instance away, and wants no requests from it for so long; 0: not said
+	Leaving bool          // it accepts no new requests
+	Backoff time.Duration // it refused this instance and requests no requests from it for so long; 0: none requested
 }
 
 // Engines makes the calls to targets and cache stores that are not callers'
 // requests. Failures are *CallError.
 type Engines interface {
+	// Report requests a target's report.
 	Report(ctx context.Context, address, id string) (Report, error)
-	// Load orders weights; nil means that the order was accepted or holds already. The word is
-	// what the target says of itself; that of a refusal is in the CallError.
+	// Load orders a target to load weights; nil means that the order was accepted or is already
+	// fulfilled. The notice is that of the response; the notice of a refusal is in the CallError.
 	Load(ctx context.Context, o LoadOrder) (Notice, error)
-	// CacheEvents returns the events from since on, waiting for some.
+	// CacheEvents returns the events from since on, and waits for some if there are none yet.
 	CacheEvents(ctx context.Context, address string, since uint64, wait time.Duration) (CacheEvents, error)
+	// CacheList lists all parts in a store.
 	CacheList(ctx context.Context, address string) (CacheList, error)
-	// Free frees parts, if the store still is in the epoch and its clock has not
+	// Free frees parts if the store is still in the epoch and its clock has not
 	// passed untilMS.
 	Free(ctx context.Context, address string, epoch uint64, untilMS int64, parts []cachestore.Key) error
 }
 
-// Report is a target's own word of its state; it lags some hundred ms.
+// Report is a target's report of its own state; it lags by some hundred ms.
 type Report struct {
-	Start           int64 // of the life that answers, Unix ms by the target's clock; 0: not told
+	Start           int64 // of the incarnation that responds, Unix ms by the target's clock; 0: not specified
 	Models          []catalog.ModelVersion
 	OrderInProgress bool   // an order is being carried out
-	OrderSeq        uint64 // orders accepted since the start
+	OrderSeq        uint64 // number of orders accepted since the start
 	Queued, Running int
 	Notice          Notice
 }
 
-// LoadOrder asks a target for a weight version.
+// LoadOrder orders a target to load a weight version.
 type LoadOrder struct {
 	Target, Address string
 	Model           string
 	Version         uint64
 	Holder          string
 	Token           uint64 // fencing token
-	ExpectedSeq     uint64 // the order is void if the target has accepted others since
-	InterruptRuns   bool   // break the model's runs off instead of waiting for their ends
+	ExpectedSeq     uint64 // the order is void if the target's OrderSeq differs
+	InterruptRuns   bool   // interrupt the model's running requests instead of waiting for them
 }
 
-// CacheEvents is a page of events of what a store holds.
+// CacheEvents is a page of events about a store's contents.
 type CacheEvents struct {
 	Epoch   uint64
 	Next    uint64
-	Gap     bool // some of the events up to Next are left out
+	Gap     bool // some of the events up to Next are missing
 	ClockMS float64
 	Events  []cachestore.Event
-	// Unreadable is how many events can't be read and are left out; Gap is true then.
+	// Unreadable is the number of events that can't be decoded and are missing; Gap is true then.
 	Unreadable int
 }
 
-// CacheList is all that a store holds.
+// CacheList is the complete contents of a store.
 type CacheList struct {
 	Epoch   uint64
 	Next    uint64
 	ClockMS float64
 	Held    []cachestore.StoredPart
-	Partial []cachestore.StoredPart // not complete, but taking space
-	// Unreadable is how many parts can't be read and are left out.
+	Partial []cachestore.StoredPart // incomplete, but taking up space
+	// Unreadable is the number of parts that can't be decoded and are missing.
 	Unreadable int
 }
 
@@ -177,7 +179,7 @@
 type CallError struct {
 	Address string
 	Call    string
-	Status  int // 0: no answer
+	Status  int // 0: no response
 	Notice  Notice
 	Cause   error
 }
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -6,33 +6,33 @@
 	"github.com/shedhoist/shedhoist/internal/core/policy"
 )
 
-// Settings are one entry instance's own settings, as an adapter has read them.
+// Settings are the settings of one entry instance, as read by an adapter.
 type Settings struct {
 	Name            string
 	Zone            string
-	CallerListen    string   // host:port that callers reach
-	ReadyListen     string   // host:port that the balancer asks for readiness
-	PeerListen      string   // host:port that other instances reach; told to them as it is
-	MetricsListen   string   // host:port of the metrics; "": none
-	Seeds           []string // peer addresses to begin with; any may be stale
-	PlatformAddress string   // host:port of the object store
-	MemoryBytes     int64    // limit of the process; 0: none
-	StopWithin      time.Duration
-	LeaseGap        time.Duration // time in which no two instances may give orders in turn
-	RolloutWithin   time.Duration // time in which new weights must be in place everywhere
+	CallerListen    string        // host:port of the callers' listener
+	ReadyListen     string        // host:port of the readiness listener, polled by the balancer
+	PeerListen      string        // host:port of the peers' listener; announced to other instances verbatim
+	MetricsListen   string        // host:port of the metrics; "": none
+	Seeds           []string      // peer addresses to join by; any may be stale
+	PlatformAddress string        // host:port of the object store
+	MemoryBytes     int64         // memory limit of the process; 0: none
+	StopWithin      time.Duration // time for a graceful stop
+	LeaseGap        time.Duration // minimum time between orders of two instances, see handoverGuard
+	RolloutWithin   time.Duration // time in which new weights must be loaded everywhere
 	ConfigWithin    time.Duration // time in which a configuration must be in force everywhere
 	// EvacuateWithin is the time after which no request may reach a zone that operators
-	// evacuate; 0: they evacuate none.
+	// have evacuated; 0: operators evacuate no zones.
 	EvacuateWithin time.Duration
-	// A cold target may get as many requests a second as its service bears, times
-	// WarmupOverage, plus WarmupSlack, from all instances together.
+	// A target that is warming up may get, from all instances together, the requests per second
+	// that its service allows, times WarmupOverage, plus WarmupSlack.
 	WarmupOverage float64
 	WarmupSlack   float64
 	Retry         RetryBudget
-	Policy        policy.Policy // how requests are placed; all mechanisms but in experiments
+	Policy        policy.Policy // how requests are placed; only experiments disable mechanisms
 }
 
-// RetryBudget bounds the retries of the whole fleet to one service: in any
+// RetryBudget limits the retries of the whole fleet to one service: in any
 // window, Share of the service's requests plus Slack.
 type RetryBudget struct {
 	Share  float64
@@ -40,16 +40,16 @@
 	Window time.Duration
 }
 
-// Defaults where the settings give nothing.
+// Defaults of settings that are not set.
 const (
-	defaultStopWithin    = 8 * time.Second  // between SIGTERM and SIGKILL, usual for supervisors
-	defaultLeaseGap      = 3 * time.Second  // as the object stores known so far judge it
+	defaultStopWithin    = 8 * time.Second  // usual time between SIGTERM and SIGKILL of supervisors
+	defaultLeaseGap      = 3 * time.Second  // required by the known object stores
 	defaultRolloutWithin = 10 * time.Second // docs/ROLLOUT.md
-	defaultConfigWithin  = 10 * time.Second // the aim, see docs/CAPACITY.md
+	defaultConfigWithin  = 10 * time.Second // objective, see docs/CAPACITY.md
 	defaultRetryShare    = 0.1              // Google SRE book, "Addressing Cascading Failures"
 )
 
-// WithDefaults fills in what is zero.
+// WithDefaults returns a copy with the default policy, and with defaults for settings that are zero.
 func (s *Settings) WithDefaults() *Settings {
 	out := *s
 	out.Policy = policy.Default()
--- a/internal/gateway/stalled_process_test.go
+++ b/internal/gateway/stalled_process_test.go
@@ -9,13 +9,14 @@
 	"github.com/matryer/is"
 )
 
-// TestStalledProcess: an instance that stood still knows it at its next tick, and sends nothing to
-// cold targets for a while: it may not know who started meanwhile.
+// TestStalledProcess guards against a process that was paused and does not detect it at its next
+// control tick. After a pause it must send no requests to targets that are warming up for a while: it
+// may not know yet which instances started meanwhile.
 func TestStalledProcess(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	c := &controlState{log: &log.Logger{Handler: discard.Default}, now: func() time.Time { return now }}
-	is.True(!c.detectPause()) // the first one
+	is.True(!c.detectPause()) // the first tick
 	for range 100 {
 		now = now.Add(controlTick)
 		is.True(!c.detectPause())
