--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -90,7 +90,7 @@
 
 // checkStop refuses a request that a stop could cut.
 func (x *exchange) checkStop() *problem.Problem {
-	if !x.g.wouldCut(x.deadline) {
+	if !x.g.wouldAbort(x.deadline) {
 		return nil
 	}
 	x.w.Header().Set("Connection", "close") // the request may have begun to come before the stop
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -8,62 +8,63 @@
 	"github.com/shedhoist/shedhoist/internal/wait"
 )
 
-// A graceful stop: what was read is answered, what would be cut is not taken.
+// A graceful stop answers every request that was read, and refuses requests that it might abort.
 
 // Times of a graceful stop.
 const (
-	// balancerNoticeTime is how long the balancer may still send new connections: it asks
-	// once a second and takes an instance out after two refusals.
+	// balancerNoticeTime is how long the balancer may still send new connections: it polls
+	// readiness once a second and removes an instance after two failures.
 	balancerNoticeTime = 2300 * time.Millisecond
-	// lingerAfterNotice is how long unused connections are kept after that. Requests that come
-	// in half of it have five seconds left until they are cut.
+	// lingerAfterNotice is how long unused connections stay open after that. Requests that arrive
+	// within half of it have five seconds left until they are aborted.
 	lingerAfterNotice = time.Second
-	// acceptTime is how long after a stop began requests are taken however long they may last:
-	// callers that were under way then have sent by that time.
+	// acceptTime is how long after the begin of a stop requests are accepted whatever their
+	// deadline: callers that were connecting at its begin have sent their requests by then.
 	acceptTime = 2900 * time.Millisecond
-	// stopMargin is what is left of the time to stop when requests are cut, so
-	// that the process ends by itself.
+	// stopMargin is what is left of the stop timeout when requests are aborted, so that the
+	// process exits by itself before it is killed.
 	stopMargin = 500 * time.Millisecond
-	// answerTime is what is left to answer a request whose deadline has passed, before a stop cuts.
+	// answerTime is the time reserved before the abort for responses to requests whose deadline has
+	// passed.
 	answerTime = drain.ResponseMargin
 )
 
-// CutError says how many requests a stop cut.
+// CutError says how many requests a stop aborted.
 type CutError struct{ Requests int64 }
 
 // Error implements error.
-func (e *CutError) Error() string { return "gateway: requests were cut by a stop" }
+func (e *CutError) Error() string { return "gateway: requests were aborted by a stop" }
 
-// Shutdown ends the process gracefully: not ready at once; it goes on accepting
-// until the balancer has noticed; then it finishes what is in hand. It returns a
-// *CutError if the time to stop passed, or ctx ended, first.
+// Shutdown stops the instance gracefully: it is not ready from now on, accepts connections until
+// the balancer has noticed, and then finishes the requests in flight. It returns a *CutError if it
+// had to abort some because the stop timeout expired or ctx ended.
 func (g *Gateway) Shutdown(ctx context.Context) error {
-	within, began := g.settings().StopWithin-stopMargin, g.now()
-	g.stopTimes.Store(&drain.Schedule{AcceptUntil: began.Add(acceptTime), AbortAt: began.Add(within)})
+	timeout, startedAt := g.settings().StopWithin-stopMargin, g.now()
+	g.stopTimes.Store(&drain.Schedule{AcceptUntil: startedAt.Add(acceptTime), AbortAt: startedAt.Add(timeout)})
 	g.sendEvent(shutdownBegun{})
 	g.queryControl(func(*controlState) {})
 	g.log.WithField("in_hand", g.inFlight.Load()).Info("stopping")
-	ctx, cancel := context.WithTimeout(ctx, within)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	wait.For(ctx, balancerNoticeTime)
 	err := drain.Stop(ctx, g.callerSrv, g.callerLn, &g.callerConns, lingerAfterNotice)
-	cut := g.inFlight.Load()
+	aborted := g.inFlight.Load()
 	if err != nil {
 		g.callerSrv.Close()
 	}
 	g.announceLeave()
 	g.Kill()
 	g.goroutines.Wait()
-	if err != nil && cut > 0 {
-		g.log.WithField("requests", cut).Error("stop cut requests")
-		return &CutError{Requests: cut}
+	if err != nil && aborted > 0 {
+		g.log.WithField("requests", aborted).Error("stop cut requests")
+		return &CutError{Requests: aborted}
 	}
 	g.log.Info("stopped")
 	return nil
 }
 
-// wouldCut says whether a request that has come whole only now, and ends by its deadline, could
-// be cut by a stop.
-func (g *Gateway) wouldCut(deadline time.Time) bool {
+// wouldAbort reports whether a stop could abort a request that has been received completely only
+// now and may run until its deadline.
+func (g *Gateway) wouldAbort(deadline time.Time) bool {
 	return g.stopTimes.Load().WouldAbort(g.now(), deadline)
 }
--- a/internal/gateway/shutdown_late_test.go
+++ b/internal/gateway/shutdown_late_test.go
@@ -15,13 +15,13 @@
 	"github.com/shedhoist/shedhoist/internal/catalog"
 )
 
-// longRunPath is that of requests that take longRun.
+// longRunPath is the path of requests that take longRun.
 const (
 	longRunPath = "/once/long"
 	longRun     = 6 * time.Second
 )
 
-// longCodec is a dialect whose requests may take 10 s.
+// longCodec is a codec whose requests to longRunPath may take 10 s.
 type longCodec struct{ trafficCodec }
 
 // DecodeConfig implements Codec.
@@ -33,7 +33,8 @@
 	return cfg, err
 }
 
-// TestStopRefusesWhatItWouldCut guards against a late request that a stop takes and cuts, or refuses needlessly.
+// TestStopRefusesWhatItWouldCut guards against a late request that a stop accepts and then aborts, or
+// refuses needlessly.
 func TestStopRefusesWhatItWouldCut(t *testing.T) {
 	for path, want := range map[string]int{longRunPath: http.StatusServiceUnavailable, pathSafe + "x": http.StatusOK} {
 		t.Run(path, func(t *testing.T) {
--- a/internal/gateway/shutdown_reload_test.go
+++ b/internal/gateway/shutdown_reload_test.go
@@ -7,24 +7,24 @@
 	"github.com/shedhoist/shedhoist/internal/catalog"
 )
 
-// TestStopKeepsItsTimes guards against a stop whose refusals go by the time to stop of settings
-// that were reloaded meanwhile, and whose cut goes by the time that held when it began.
+// TestStopKeepsItsTimes guards against a stop that refuses requests by the stop timeout of settings
+// reloaded meanwhile but aborts by the timeout at its begin.
 func TestStopKeepsItsTimes(t *testing.T) {
 	const since = 3200 * time.Millisecond
-	for within, over := range map[time.Duration]time.Duration{time.Hour: 1, since: 0} {
-		t.Run(within.String(), func(t *testing.T) {
-			atStopEdge(t, edgeCodec{kind: catalog.Streaming, timeout: edgeLast - since + over}, func(f *edgeFleet) {
-				c, _ := f.sendLate(onUnused, since)
-				f.until(balancerNoticeTime)
+	for stopWithin, excess := range map[time.Duration]time.Duration{time.Hour: 1, since: 0} {
+		t.Run(stopWithin.String(), func(t *testing.T) {
+			atStopEdge(t, edgeCodec{kind: catalog.Streaming, timeout: edgeMaxDeadline - since + excess}, func(f *edgeFleet) {
+				c, _ := f.sendLate(unusedConn, since)
+				f.sleepUntil(balancerNoticeTime)
 				next := *f.gateways[0].settings()
-				next.StopWithin = within
+				next.StopWithin = stopWithin
 				f.gateways[0].Reload(&next)
-				if over > 0 {
-					c.send(since, f.request(neverEnds, 0))
-					c.isRefused(since, 0)
+				if excess > 0 {
+					c.send(since, f.request(endlessDuration, 0))
+					c.expectRefused(since, 0)
 				} else {
-					c.send(since, f.request(edgeCut-since-beforeCut, 0))
-					c.isWhole()
+					c.send(since, f.request(edgeAbortTime-since-beforeAbort, 0))
+					c.expectComplete()
 				}
 				f.is.NoErr(<-f.stopped)
 			})
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -14,10 +14,11 @@
 	"github.com/matryer/is"
 )
 
-// bodyPiece is a request in two pieces.
-var bodyPiece = [2]string{"GET /x HTTP/1.1\r\nHost: a.example\r\n", "\r\n"}
+// requestPieces is a request in two pieces, to be sent one after the other.
+var requestPieces = [2]string{"GET /x HTTP/1.1\r\nHost: a.example\r\n", "\r\n"}
 
-// TestStopAnswersReadRequests guards against a stop that ends a request without an answer while it reads its header.
+// TestStopAnswersReadRequests guards against a stop that closes a connection without a response while
+// it reads a request's header.
 func TestStopAnswersReadRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -27,74 +28,77 @@
 			_, err := io.WriteString(conn, text)
 			is.NoErr(err)
 		}
-		answered := func(conn net.Conn) {
+		expectResponse := func(conn net.Conn) {
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			is.NoErr(err)
 			resp.Body.Close()
 			is.Equal(resp.StatusCode, http.StatusNotFound)
 			is.True(resp.Close)
 		}
-		silent, begun := f.dialCaller(0), f.dialCaller(0)
-		send(begun, bodyPiece[0])
+		unused, partial := f.dialCaller(0), f.dialCaller(0)
+		send(partial, requestPieces[0])
 		stopped := make(chan error, 1)
 		go func() { stopped <- f.gateways[0].Shutdown(t.Context()) }()
 		time.Sleep(balancerNoticeTime + 100*time.Millisecond)
-		send(begun, bodyPiece[1])
-		answered(begun)
-		send(silent, bodyPiece[0]+bodyPiece[1])
-		answered(silent)
+		send(partial, requestPieces[1])
+		expectResponse(partial)
+		send(unused, requestPieces[0]+requestPieces[1])
+		expectResponse(unused)
 		is.NoErr(<-stopped)
 	})
 }
 
-// TestStopDoesNotWait guards against a stop that waits for callers where none has a request in hand.
+// TestStopDoesNotWait guards against a stop that waits for idle connections when no request is in
+// flight.
 func TestStopDoesNotWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newMemoryFleet(t, 1, 1)
 		defer f.stop()
 		conn := f.dialCaller(0)
-		_, err := io.WriteString(conn, bodyPiece[0]+bodyPiece[1])
+		_, err := io.WriteString(conn, requestPieces[0]+requestPieces[1])
 		is.NoErr(err)
 		_, err = http.ReadResponse(bufio.NewReader(conn), nil)
 		is.NoErr(err)
-		began := time.Now()
+		startedAt := time.Now()
 		is.NoErr(f.gateways[0].Shutdown(t.Context()))
-		is.True(time.Since(began) < balancerNoticeTime+time.Second)
+		is.True(time.Since(startedAt) < balancerNoticeTime+time.Second)
 	})
 }
 
-// TestStopClosesUnusedConns guards against unused connections kept in a stop, so that more comes late and is cut.
+// TestStopClosesUnusedConns guards against a stop that keeps idle connections open, on which late
+// requests arrive that it then aborts.
 func TestStopClosesUnusedConns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newMemoryFleet(t, 1, 1)
 		defer f.stop()
-		unused, begun := f.dialCaller(0), f.dialCaller(0)
-		_, err := io.WriteString(unused, bodyPiece[0]+bodyPiece[1])
+		unused, partial := f.dialCaller(0), f.dialCaller(0)
+		_, err := io.WriteString(unused, requestPieces[0]+requestPieces[1])
 		is.NoErr(err)
 		r := bufio.NewReader(unused)
 		_, err = http.ReadResponse(r, nil)
 		is.NoErr(err)
 		_, err = io.Copy(io.Discard, io.LimitReader(r, 1))
 		is.NoErr(err)
-		_, err = io.WriteString(begun, bodyPiece[0]) // what holds the stop up
+		_, err = io.WriteString(partial, requestPieces[0]) // delays the stop
 		is.NoErr(err)
 		stopped := make(chan error, 1)
 		go func() { stopped <- f.gateways[0].Shutdown(t.Context()) }()
 		time.Sleep(balancerNoticeTime + 100*time.Millisecond)
 		_, err = io.Copy(io.Discard, r)
-		is.NoErr(err) // it has ended
+		is.NoErr(err) // the connection is closed
 		select {
 		case <-stopped:
-			t.Fatal("the stop did not wait for the request that had begun")
+			t.Fatal("the stop did not wait for the partially received request")
 		default:
 		}
 		is.NoErr(<-stopped)
 	})
 }
 
-// TestStopEndsUnderLoad guards against a stop that does not end, or cuts requests, while callers go on sending.
+// TestStopEndsUnderLoad guards against a stop that does not end, or aborts requests, while callers
+// continue to send.
 func TestStopEndsUnderLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -102,17 +106,17 @@
 		defer f.stop()
 		ctx, cancel := context.WithCancel(t.Context())
 		var callers sync.WaitGroup
-		served, cut := 0, 0
+		served, failed := 0, 0
 		callers.Go(func() {
 			for ctx.Err() == nil {
 				conn, err := f.net.dialFrom("caller")(ctx, "memory", f.gateways[0].CallerAddr())
 				if err != nil {
-					return // it takes no more
+					return // it accepts no more connections
 				}
-				if _, err := io.WriteString(conn, bodyPiece[0]+bodyPiece[1]); err != nil {
-					cut++
+				if _, err := io.WriteString(conn, requestPieces[0]+requestPieces[1]); err != nil {
+					failed++
 				} else if _, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil {
-					cut++
+					failed++
 				} else {
 					served++
 				}
@@ -125,6 +129,6 @@
 		cancel()
 		callers.Wait()
 		is.True(served > 100)
-		is.Equal(cut, 0)
+		is.Equal(failed, 0)
 	})
 }
--- a/internal/gateway/staleness_test.go
+++ b/internal/gateway/staleness_test.go
@@ -18,7 +18,7 @@
 func (f *memoryFleet) status(i int) int {
 	conn := f.dialCaller(i)
 	defer conn.Close()
-	if _, err := io.WriteString(conn, bodyPiece[0]+bodyPiece[1]); err != nil {
+	if _, err := io.WriteString(conn, requestPieces[0]+requestPieces[1]); err != nil {
 		f.t.Fatal(err)
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
