--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -91,7 +91,7 @@
 
 // checkStop refuses a request whose deadline lies after the end of an ongoing shutdown.
 func (x *exchange) checkStop() *problem.Problem {
-	if !x.g.wouldCut(x.deadline) {
+	if !x.g.wouldAbort(x.deadline) {
 		return nil
 	}
 	x.w.Header().Set("Connection", "close") // not set on arrival if the stop began later
