--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,5 +1,5 @@
 // Package ledger runs the partitions of the at-most-once ledger
-// (internal/core/once) against the platform's object API.
+// (internal/core/atmostonce) against the platform's object API.
 package ledger
 
 import (
@@ -16,26 +16,26 @@
 	"github.com/shedhoist/shedhoist/internal/platform"
 )
 
-// Partitions is how many chains the claims are hashed to. At the pace of
-// once.DefaultParams all of them together write at most 160 times a second.
+// Partitions is the number of chains that claims are hashed to. With
+// atmostonce.DefaultParams they make at most 160 writes per second in total.
 const Partitions = 16
 
-// UnavailableError says that a claim could not be made durable: its request
-// must not be dispatched.
+// UnavailableError reports that a claim could not be made durable, or that it is
+// not known whether it is: its request must not be dispatched.
 type UnavailableError struct{ Cause error }
 
 // Error implements error.
 func (e *UnavailableError) Error() string {
 	if e.Cause == nil {
-		return "ledger: claim not settled"
+		return "ledger: claim not confirmed as durable"
 	}
-	return "ledger: claim not settled: " + e.Cause.Error()
+	return "ledger: claim not confirmed as durable: " + e.Cause.Error()
 }
 
 // Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// NewID names the claim of a customer's key.
+// NewID returns the claim ID of a customer's idempotency key.
 func NewID(customer, key string) atmostonce.ID {
 	h := sha256.New()
 	fmt.Fprintf(h, "%d:%s%s", len(customer), customer, key)
@@ -45,63 +45,64 @@
 // NewNonce returns a random nonce.
 func NewNonce() atmostonce.Nonce {
 	var n atmostonce.Nonce
-	_, _ = rand.Read(n[:]) // crypto/rand.Read never fails; it ends the process instead
+	_, _ = rand.Read(n[:]) // crypto/rand.Read never returns an error; it ends the process instead
 	return n
 }
 
-// PartitionOf returns the partition of a claim.
+// PartitionOf returns the index of a claim's partition.
 func PartitionOf(id atmostonce.ID) int { return int(id[0]) % Partitions }
 
-// Ledger holds the partitions that this instance has used.
+// Ledger holds the partitions that this instance has used. Use New to create one.
 type Ledger struct {
 	store  platform.Store
 	params atmostonce.Params
 	now    func() time.Time
 	ctx    context.Context
 
-	mu   sync.Mutex
-	runs [Partitions]*runner
-	done sync.WaitGroup
+	mu      sync.Mutex
+	runners [Partitions]*runner
+	wg      sync.WaitGroup
 }
 
-// New returns a ledger whose work ends with ctx.
+// New returns a ledger whose goroutines end with ctx.
 func New(ctx context.Context, store platform.Store, params atmostonce.Params, now func() time.Time) *Ledger {
 	return &Ledger{ctx: ctx, store: store, params: params, now: now}
 }
 
-// Wait returns when all partitions have ended, which they do with the context.
-func (l *Ledger) Wait() { l.done.Wait() }
+// Wait returns when the goroutines of all partitions have ended. They end with the
+// context given to New.
+func (l *Ledger) Wait() { l.wg.Wait() }
 
-func (l *Ledger) runner(n int) *runner {
+func (l *Ledger) runnerFor(n int) *runner {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.runs[n] == nil {
-		r := &runner{l: l, prefix: fmt.Sprintf("once/%02d/", n), ops: make(chan op, opBacklog), p: atmostonce.New(l.params)}
-		l.runs[n] = r
-		l.done.Add(1)
+	if l.runners[n] == nil {
+		r := &runner{ledger: l, prefix: fmt.Sprintf("once/%02d/", n), ops: make(chan op, opBacklog), partition: atmostonce.New(l.params)}
+		l.runners[n] = r
+		l.wg.Add(1)
 		go func() {
-			defer l.done.Done()
+			defer l.wg.Done()
 			r.run()
 		}()
 	}
-	return l.runs[n]
+	return l.runners[n]
 }
 
-// Claim makes a claim durable, or answers from the chain what became of an
-// earlier one. To repeat it with the same nonce is safe.
+// Claim makes a claim durable, or returns the verdict on an earlier claim of the
+// same ID. It is safe to repeat it with the same nonce.
 func (l *Ledger) Claim(ctx context.Context, e atmostonce.Entry) (atmostonce.Result, error) {
-	got := make(chan atmostonce.Result, 1)
-	if !l.runner(PartitionOf(e.ID)).send(ctx, func(p *atmostonce.Partition) {
-		p.Submit(e, func(a atmostonce.Result) { got <- a })
+	results := make(chan atmostonce.Result, 1)
+	if !l.runnerFor(PartitionOf(e.ID)).submit(ctx, func(p *atmostonce.Partition) {
+		p.Submit(e, func(result atmostonce.Result) { results <- result })
 	}) {
 		return atmostonce.Result{}, &UnavailableError{Cause: ctx.Err()}
 	}
 	select {
-	case a := <-got:
-		if a.Verdict == atmostonce.Undetermined {
-			return a, &UnavailableError{}
+	case result := <-results:
+		if result.Verdict == atmostonce.Undetermined {
+			return result, &UnavailableError{}
 		}
-		return a, nil
+		return result, nil
 	case <-ctx.Done():
 		return atmostonce.Result{}, &UnavailableError{Cause: ctx.Err()}
 	case <-l.ctx.Done():
@@ -109,38 +110,38 @@
 	}
 }
 
-// Settle brings a claim's outcome; it does not wait.
+// Settle records the outcome of a claim. It does not wait for the write.
 func (l *Ledger) Settle(id atmostonce.ID, nonce atmostonce.Nonce, o atmostonce.Outcome) {
-	l.runner(PartitionOf(id)).send(l.ctx, func(p *atmostonce.Partition) { p.Complete(id, nonce, o) })
+	l.runnerFor(PartitionOf(id)).submit(l.ctx, func(p *atmostonce.Partition) { p.Complete(id, nonce, o) })
 }
 
-// op is something to do with a partition on its own goroutine.
+// op is an operation on a partition, run on the partition's goroutine.
 type op func(*atmostonce.Partition)
 
-// Bounds of a runner.
+// Limits of a runner.
 const (
-	opBacklog   = 4096
-	callTimeout = 2 * time.Second // one write or load
-	retryPause  = 100 * time.Millisecond
-	loadAtOnce  = 8 // segments read at once
+	opBacklog          = 4096
+	callTimeout        = 2 * time.Second // for one write, one load of the tip or one read of a segment
+	retryDelay         = 100 * time.Millisecond
+	maxConcurrentReads = 8 // segments read concurrently
 )
 
-// runner is the goroutine of one partition.
+// runner owns one partition and runs its operations on a goroutine.
 type runner struct {
-	l        *Ledger
-	prefix   string
-	ops      chan op
-	p        *atmostonce.Partition
-	failures int
+	ledger    *Ledger
+	prefix    string
+	ops       chan op
+	partition *atmostonce.Partition
+	failures  int
 }
 
-func (r *runner) send(ctx context.Context, o op) bool {
+func (r *runner) submit(ctx context.Context, o op) bool {
 	select {
 	case r.ops <- o:
 		return true
 	case <-ctx.Done():
 		return false
-	case <-r.l.ctx.Done():
+	case <-r.ledger.ctx.Done():
 		return false
 	}
 }
@@ -151,79 +152,82 @@
 	for {
 		select {
 		case o := <-r.ops:
-			o(r.p)
-			r.drain()
+			o(r.partition)
+			r.applyQueued()
 		case <-timer.C:
-		case <-r.l.ctx.Done():
-			r.p.FailQueued()
+		case <-r.ledger.ctx.Done():
+			r.partition.FailQueued()
 			return
 		}
 		timer.Reset(r.step())
 	}
 }
 
-// drain takes what has queued meanwhile, so that it shares one write.
-func (r *runner) drain() {
+// applyQueued runs the operations that are queued by now, so that they share one
+// write.
+func (r *runner) applyQueued() {
 	for {
 		select {
 		case o := <-r.ops:
-			o(r.p)
+			o(r.partition)
 		default:
 			return
 		}
 	}
 }
 
-// idle is how long a runner without work sleeps.
-const idle = time.Hour
+// idleInterval is how long a runner without pending writes waits for an operation.
+const idleInterval = time.Hour
 
-// step does what is due and returns when to look again.
+// step loads the partition if needed and makes the write that is due. It returns the
+// time to the next step.
 func (r *runner) step() time.Duration {
-	if !r.p.Loaded() {
+	if !r.partition.Loaded() {
 		if err := r.load(); err != nil {
-			return r.failed()
+			return r.recordFailure()
 		}
 	}
-	now := r.l.now()
-	at, some := r.p.NextWriteAt(now)
-	if !some {
-		return idle
+	now := r.ledger.now()
+	at, due := r.partition.NextWriteAt(now)
+	if !due {
+		return idleInterval
 	}
 	if wait := at.Sub(now); wait > 0 {
 		return wait
 	}
-	w, err := r.p.BeginWrite(now, NewNonce())
+	w, err := r.partition.BeginWrite(now, NewNonce())
 	if err != nil || w == nil {
-		return idle
+		return idleInterval
 	}
 	if err := r.write(w); err != nil {
-		return r.failed()
+		return r.recordFailure()
 	}
 	r.failures = 0
 	return 0
 }
 
-// failed ends a round that the platform did not carry. All who wait are
-// answered now, so that nobody hangs; the next ones try again.
-func (r *runner) failed() time.Duration {
+// recordFailure counts a load or write that failed, and returns the delay before the
+// next step. After maxFailures consecutive failures the queued claims fail, so that
+// their callers do not wait any longer; later claims are tried again.
+func (r *runner) recordFailure() time.Duration {
 	r.failures++
 	metric.LedgerErrors.Inc()
-	if r.failures >= giveUpAfter {
-		r.p.FailQueued()
+	if r.failures >= maxFailures {
+		r.partition.FailQueued()
 	}
-	return retryPause * time.Duration(min(r.failures, 20))
+	return retryDelay * time.Duration(min(r.failures, 20))
 }
 
-// giveUpAfter is how many failed rounds the waiting claims are kept for.
-const giveUpAfter = 3
+// maxFailures is the number of consecutive failures at which the queued claims fail.
+const maxFailures = 3
 
-// load reads the tip and those segments that are not known yet.
+// load reads the tip and the segments that are not known yet.
 func (r *runner) load() error {
-	ctx, cancel := context.WithTimeout(r.l.ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(r.ledger.ctx, callTimeout)
 	defer cancel()
-	var missing *platform.NotFoundError
-	o, err := r.l.store.Get(ctx, r.prefix+"tip")
-	if err != nil && !errors.As(err, &missing) {
+	var notFound *platform.NotFoundError
+	o, err := r.ledger.store.Get(ctx, r.prefix+"tip")
+	if err != nil && !errors.As(err, &notFound) {
 		return err
 	}
 	tip, err := atmostonce.DecodeTip(o.Value)
@@ -232,23 +236,23 @@
 	}
 	var keys []string
 	for _, s := range tip.Segments {
-		if !r.p.HasSegment(s.Key) {
+		if !r.partition.HasSegment(s.Key) {
 			keys = append(keys, s.Key)
 		}
 	}
-	segments, err := r.segments(keys)
+	segments, err := r.readSegments(keys)
 	if err != nil {
 		return err
 	}
-	r.p.Load(tip, uint64(o.Version), segments)
+	r.partition.Load(tip, uint64(o.Version), segments)
 	return nil
 }
 
-// segments reads segments, some at once, and returns them in order.
-func (r *runner) segments(keys []string) ([][]atmostonce.Entry, error) {
+// readSegments reads segments concurrently and returns them in the order of keys.
+func (r *runner) readSegments(keys []string) ([][]atmostonce.Entry, error) {
 	out := make([][]atmostonce.Entry, len(keys))
 	errs := make([]error, len(keys))
-	slots := make(chan struct{}, loadAtOnce)
+	slots := make(chan struct{}, maxConcurrentReads)
 	var wg sync.WaitGroup
 	for i, key := range keys {
 		wg.Add(1)
@@ -256,9 +260,9 @@
 		go func() {
 			defer wg.Done()
 			defer func() { <-slots }()
-			ctx, cancel := context.WithTimeout(r.l.ctx, callTimeout)
+			ctx, cancel := context.WithTimeout(r.ledger.ctx, callTimeout)
 			defer cancel()
-			o, err := r.l.store.Get(ctx, r.prefix+"segments/"+key)
+			o, err := r.ledger.store.Get(ctx, r.prefix+"segments/"+key)
 			if err == nil {
 				out[i], err = atmostonce.DecodeSegment(o.Value)
 			}
@@ -269,39 +273,39 @@
 	return out, errors.Join(errs...)
 }
 
-// write carries out one write: the segment first, then the tip.
+// write makes one write: the segment first, then the tip.
 func (r *runner) write(w *atmostonce.Write) error {
-	ctx, cancel := context.WithTimeout(r.l.ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(r.ledger.ctx, callTimeout)
 	defer cancel()
 	if w.Segment != nil {
-		if _, err := r.l.store.Put(ctx, r.prefix+"segments/"+w.SegmentKey, w.Segment, 0); err != nil {
-			r.p.WriteFailed()
+		if _, err := r.ledger.store.Put(ctx, r.prefix+"segments/"+w.SegmentKey, w.Segment, 0); err != nil {
+			r.partition.WriteFailed()
 			return err
 		}
 	}
 	metric.LedgerWrites.Inc()
-	v, err := r.l.store.Put(ctx, r.prefix+"tip", w.Tip, platform.Version(w.ExpectedVersion))
+	v, err := r.ledger.store.Put(ctx, r.prefix+"tip", w.Tip, platform.Version(w.ExpectedVersion))
 	var conflict *platform.ConflictError
 	switch {
 	case err == nil:
-		r.remove(r.p.WriteSucceeded(uint64(v), r.l.now()))
+		r.deleteSegments(r.partition.WriteSucceeded(uint64(v), r.ledger.now()))
 		return nil
 	case errors.As(err, &conflict):
-		r.p.WriteFailed() // another instance wrote: read what, and try again at once
+		r.partition.WriteFailed() // another instance wrote: reload and retry without delay
 		metric.LedgerConflicts.Inc()
 		return nil
 	}
-	r.p.WriteFailed()
+	r.partition.WriteFailed()
 	return err
 }
 
-// remove deletes segments that the chain no longer names. What is missed here
-// is only space.
-func (r *runner) remove(keys []string) {
+// deleteSegments deletes segments that the chain no longer references. A segment that
+// is not deleted only takes up space.
+func (r *runner) deleteSegments(keys []string) {
 	for _, key := range keys {
-		ctx, cancel := context.WithTimeout(r.l.ctx, callTimeout)
-		if o, err := r.l.store.Get(ctx, r.prefix+"segments/"+key); err == nil {
-			_ = r.l.store.Delete(ctx, r.prefix+"segments/"+key, o.Version)
+		ctx, cancel := context.WithTimeout(r.ledger.ctx, callTimeout)
+		if o, err := r.ledger.store.Get(ctx, r.prefix+"segments/"+key); err == nil {
+			_ = r.ledger.store.Delete(ctx, r.prefix+"segments/"+key, o.Version)
 		}
 		cancel()
 	}
