--- a/internal/caller/model.go
+++ b/internal/caller/model.go
@@ -237,7 +237,7 @@
 
 // answer is a run on its way to the caller.
 type answer struct {
-	live    *dispatch.Live
+	live    *dispatch.Run
 	req     *modelRequest
 	id      string
 	created time.Time
--- a/internal/caller/stop_edge_test.go
+++ b/internal/caller/stop_edge_test.go
@@ -71,7 +71,7 @@
 	quiet := &log.Logger{Handler: discard.Default}
 	v := &view.Holder{}
 	v.Store(&view.View{Config: cfg, Instances: 1, Targets: route.NewSnapshot([]route.Target{{Name: "t", Address: address, Zone: "z", Model: "m", Version: "v", Slots: 1}}, nil)})
-	d := &dispatch.Dispatcher{View: v, Targets: target.NewClient(time.Second), Hints: cache.NewHints(1), Why: explain.NewLog(1), Log: quiet, Now: clock, Stall: time.Minute, Answer: 1 << 20}
+	d := &dispatch.Dispatcher{View: v, Targets: target.NewClient(time.Second), Hints: cache.NewHints(1), Explain: explain.NewLog(1), Log: quiet, Now: clock, StreamIdleTimeout: time.Minute, MaxResponseBytes: 1 << 20}
 	d.Init(t.Context())
 	t.Cleanup(d.Targets.Close)
 	s.Edge = &caller.Edge{View: v, Dispatch: d, Admit: &s.admit, Log: quiet, Now: clock}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -92,8 +92,8 @@
 	d.engines = target.NewClient(settings.Duration(set.Timing.ConnectMS))
 	d.admit = newAdmission(d.now)
 	d.dispatch = &dispatch.Dispatcher{Instance: set.Name, Zone: set.Zone, View: &d.view, Targets: d.engines,
-		Stores: kvstore.NewClient(settings.Duration(set.Timing.ConnectMS)), Hints: d.hints, Why: d.whys, Log: d.log, Now: d.now,
-		Ledger: keeper{d}, Stall: stallTimeout, Answer: int64(set.Limits.AnswerBytes)}
+		Stores: kvstore.NewClient(settings.Duration(set.Timing.ConnectMS)), Hints: d.hints, Explain: d.whys, Log: d.log, Now: d.now,
+		Ledger: keeper{d}, StreamIdleTimeout: stallTimeout, MaxResponseBytes: int64(set.Limits.AnswerBytes)}
 	d.dispatch.Init(d.ctx)
 	d.callers = &caller.Edge{View: &d.view, Dispatch: d.dispatch, Admit: d.admit, Limits: set.Limits, Log: d.log, Now: d.now}
 	if err := d.listen(); err != nil {
@@ -314,4 +314,4 @@
 
 // SetTruth replaces this instance's beliefs about targets, for the oracle of
 // experiments. It must be called before traffic comes.
-func (d *Daemon) SetTruth(h route.Hints) { d.dispatch.Truth = h }
+func (d *Daemon) SetTruth(h route.Hints) { d.dispatch.OracleHints = h }
--- a/internal/dispatch/other_model_test.go
+++ b/internal/dispatch/backoff_other_model_test.go
@@ -13,11 +13,11 @@
 	"github.com/shedhoist/shedhoist/internal/view"
 )
 
-// TestRestOfAnotherModel guards against blaming a missing target on a rest that a target of
-// another model asked for.
-func TestRestOfAnotherModel(t *testing.T) {
+// TestBackoffOfAnotherModel guards against reporting a model without targets as
+// overloaded because a target of another model is in backoff.
+func TestBackoffOfAnotherModel(t *testing.T) {
 	is := is.New(t)
-	f := newRestingFleet(t)
+	f := newFakeFleet(t)
 	kind := func() problem.Kind {
 		_, err := f.d.Start(t.Context(), &dispatch.Request{ID: "other", Customer: &view.Customer{}, View: f.view, Model: &config.Model{Name: "none", Version: "v", DeadlineMS: 1 << 30},
 			Path: "/v1/completions", Canonical: "prompt", Arrived: f.d.Now(), Body: func(target.Extension) target.Body { return target.Body{"{}"} }})
@@ -28,7 +28,7 @@
 	is.Equal(kind(), problem.NoTarget)
 	f.targets[0].refuse("3")
 	for range 5 {
-		_ = f.run(t.Context()) // some are turned away, which is what it is for
+		_ = f.run(t.Context()) // the target refuses some, which puts it in backoff
 	}
 	is.Equal(kind(), problem.NoTarget)
 }
--- a/internal/dispatch/claim.go
+++ b/internal/dispatch/claim.go
@@ -14,23 +14,24 @@
 	"github.com/shedhoist/shedhoist/internal/target"
 )
 
-// headerKey is the caller's idempotency key; headerReplayed marks a stored
-// answer (draft-ietf-httpapi-idempotency-key-header).
+// headerIdempotencyKey carries the caller's idempotency key; headerReplayed marks a
+// stored response (draft-ietf-httpapi-idempotency-key-header).
 const (
-	headerKey      = "Idempotency-Key"
-	headerReplayed = "Idempotent-Replayed"
-	maxKey         = 256 // bytes
+	headerIdempotencyKey = "Idempotency-Key"
+	headerReplayed       = "Idempotent-Replayed"
+	maxKeyBytes          = 256 // bytes
 )
 
-// claim makes the claim of a keyed request that is not idempotent. It returns
-// nil for a request that needs none, the stored answer of an earlier run, or
-// the final problem. Only a returned entry may be dispatched.
+// claim claims the idempotency key of a request that is not idempotent. It returns
+// nil values for a request that needs no claim, the stored response of an earlier
+// execution, or the final problem. A claimed request may be dispatched only if its
+// entry is returned.
 func (d *Dispatcher) claim(ctx context.Context, req *ServiceRequest, idempotent bool) (*atmostonce.Entry, *target.Response, error) {
-	key := req.Header.Get(headerKey)
+	key := req.Header.Get(headerIdempotencyKey)
 	if idempotent || key == "" {
 		return nil, nil, nil
 	}
-	if len(key) > maxKey {
+	if len(key) > maxKeyBytes {
 		return nil, nil, problem.New(problem.BadRequest, "the idempotency key is too long")
 	}
 	h := xxhash.New()
@@ -38,34 +39,36 @@
 		_, _ = h.WriteString(part + "\x00")
 	}
 	_, _ = h.Write(req.Body)
-	e := &atmostonce.Entry{ID: ledger.NewID(req.Customer.Name, key), Nonce: ledger.NewNonce(), RequestHash: h.Sum64()}
-	a, err := d.Ledger.Claim(ctx, *e)
+	entry := &atmostonce.Entry{ID: ledger.NewID(req.Customer.Name, key), Nonce: ledger.NewNonce(), RequestHash: h.Sum64()}
+	result, err := d.Ledger.Claim(ctx, *entry)
 	if err != nil {
-		// Should the claim be durable after all, free it: it is not dispatched.
-		d.Ledger.Settle(e.ID, e.Nonce, atmostonce.Outcome{Void: true})
+		// The claim may be durable nevertheless. The request is not dispatched, so free it.
+		d.Ledger.Settle(entry.ID, entry.Nonce, atmostonce.Outcome{Void: true})
 		p := problem.New(problem.LedgerUnavailable, "the ledger of requests that may not be repeated can't be reached")
-		p.RetryAfter = ledgerRetry
+		p.RetryAfter = ledgerRetryAfter
 		return nil, nil, p
 	}
-	return d.judge(e, a)
+	return d.resolveClaim(entry, result)
 }
 
-// ledgerRetry is when a caller may come back after a ledger failure.
-const ledgerRetry = 2 * time.Second
+// ledgerRetryAfter is the Retry-After of a request refused because of a ledger failure.
+const ledgerRetryAfter = 2 * time.Second
 
-func (d *Dispatcher) judge(e *atmostonce.Entry, a atmostonce.Result) (*atmostonce.Entry, *target.Response, error) {
-	switch a.Verdict {
+// resolveClaim returns what follows from the verdict on a claim: the entry to
+// dispatch, the stored response, or the final problem.
+func (d *Dispatcher) resolveClaim(entry *atmostonce.Entry, result atmostonce.Result) (*atmostonce.Entry, *target.Response, error) {
+	switch result.Verdict {
 	case atmostonce.Granted:
-		return e, nil, nil
+		return entry, nil, nil
 	case atmostonce.Mismatch:
 		return nil, nil, problem.New(problem.KeyReused, "the idempotency key was used for another request")
 	case atmostonce.Completed:
-		if !a.Outcome.Truncated {
+		if !result.Outcome.Truncated {
 			h := http.Header{headerReplayed: {"true"}}
-			if a.Outcome.ContentType != "" {
-				h.Set("Content-Type", a.Outcome.ContentType)
+			if result.Outcome.ContentType != "" {
+				h.Set("Content-Type", result.Outcome.ContentType)
 			}
-			return nil, &target.Response{Status: a.Outcome.Status, Header: h, Body: a.Outcome.Body}, nil
+			return nil, &target.Response{Status: result.Outcome.Status, Header: h, Body: result.Outcome.Body}, nil
 		}
 		return nil, nil, &problem.Problem{Kind: problem.OutcomeUnknown, Execution: problem.Ran, Detail: "it ran; its answer was too long to keep"}
 	}
@@ -73,25 +76,26 @@
 		Detail: "a request with this key was taken up before; its outcome is not known"}
 }
 
-// settle tells the ledger what became of a claim. One whose request may have
-// run without an answer is left as it is.
-func (d *Dispatcher) settle(claim *atmostonce.Entry, answer *target.Response, ex problem.Execution) {
+// settle records the outcome of a claim in the ledger, or frees the claim of a request
+// that did not run. The claim of a request that may have run without a response
+// remains pending.
+func (d *Dispatcher) settle(claim *atmostonce.Entry, resp *target.Response, execution problem.Execution) {
 	switch {
 	case claim == nil:
-	case answer != nil:
-		d.Ledger.Settle(claim.ID, claim.Nonce, atmostonce.Outcome{Status: answer.Status, ContentType: answer.Header.Get("Content-Type"), Body: answer.Body})
-	case ex == problem.NotRun:
+	case resp != nil:
+		d.Ledger.Settle(claim.ID, claim.Nonce, atmostonce.Outcome{Status: resp.Status, ContentType: resp.Header.Get("Content-Type"), Body: resp.Body})
+	case execution == problem.NotRun:
 		d.Ledger.Settle(claim.ID, claim.Nonce, atmostonce.Outcome{Void: true})
 	}
 }
 
-// closeReplay closes the books of a request that was not dispatched.
-func (d *Dispatcher) closeReplay(rec *explain.Record, err error) {
+// closeWithoutDispatch completes the record of a request that was not dispatched.
+func (d *Dispatcher) closeWithoutDispatch(rec *explain.Record, err error) {
 	p, ok := err.(*problem.Problem)
 	if !ok {
-		d.closeCall(rec, "replayed", problem.Ran)
+		d.closeServiceRecord(rec, "replayed", problem.Ran)
 		return
 	}
 	p.RequestID = rec.ID
-	d.closeCall(rec, string(p.Kind), p.Execution)
+	d.closeServiceRecord(rec, string(p.Kind), p.Execution)
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,6 +1,6 @@
-// Package dispatch carries one request from admission to its whole answer: it
-// asks core/route where, core/attempt what next, and moves the bytes. It never
-// decides about retries or execution itself.
+// Package dispatch carries a request from admission to its complete response. It gets
+// the target from core/route and the next action from core/attempt, and transfers the
+// data. It makes no decision on retries or execution itself.
 package dispatch
 
 import (
@@ -29,105 +29,110 @@
 	"github.com/shedhoist/shedhoist/internal/wait"
 )
 
-// Dispatcher serves requests on one instance.
+// Dispatcher dispatches the requests of one instance. Set the exported fields, then
+// call Init.
 type Dispatcher struct {
-	Instance string
-	Zone     string
-	View     *view.Holder
-	Targets  *target.Client
-	Stores   *kvstore.Client
-	Hints    *cache.Hints
-	Why      *explain.Log
-	Log      log.Interface
-	Now      func() time.Time
-	Stall    time.Duration // longest silence within a stream
-	Answer   int64         // largest service answer, bytes
-	Ledger   Ledger
-
-	// Truth replaces this instance's beliefs, for the oracle of experiments.
-	Truth route.Hints
-
-	load    *inflight.Loads
-	stores  *breaker.Set
-	ejected *breaker.Set // targets whose runs fail
-	callees *breaker.Set // instances of services, by their names
-	turn    atomic.Uint64
-
-	mu     sync.Mutex
-	budget *limit.Budget
-
-	keeps    chan struct{} // bounds exports under way
-	keepsWG  sync.WaitGroup
-	keepsCtx context.Context
+	Instance          string
+	Zone              string
+	View              *view.Holder
+	Targets           *target.Client
+	Stores            *kvstore.Client
+	Hints             *cache.Hints
+	Explain           *explain.Log
+	Log               log.Interface
+	Now               func() time.Time
+	StreamIdleTimeout time.Duration // longest time between two events of a stream
+	MaxResponseBytes  int64         // largest response of a service, bytes
+	Ledger            Ledger
+
+	// OracleHints, if set, replaces this instance's own estimates of cache contents and
+	// load. It serves as the oracle in experiments.
+	OracleHints route.Hints
+
+	loads           *inflight.Loads
+	storeBreakers   *breaker.Set
+	targetBreakers  *breaker.Set // engines, by target name
+	serviceBreakers *breaker.Set // instances of services, by name
+	routeSequence   atomic.Uint64
+
+	mu          sync.Mutex
+	retryBudget *limit.Budget
+
+	saveSlots chan struct{} // limits concurrent exports
+	savesWG   sync.WaitGroup
+	savesCtx  context.Context
 }
 
 // Ledger makes claims durable before their requests are dispatched.
 type Ledger interface {
-	// Claim returns an error if it is not known whether the claim is durable:
-	// its request must not be dispatched.
+	// Claim returns an error if it is not known whether the claim is durable. Its
+	// request must not be dispatched then.
 	Claim(ctx context.Context, e atmostonce.Entry) (atmostonce.Result, error)
-	// Settle brings the outcome, or frees a claim whose request was not sent.
+	// Settle records the outcome of a claim, or frees the claim of a request that was
+	// not dispatched.
 	Settle(id atmostonce.ID, nonce atmostonce.Nonce, o atmostonce.Outcome)
 }
 
-// maxKeeps bounds the exports that one instance has under way.
-const maxKeeps = 8
+// maxConcurrentSaves is the maximum number of concurrent exports of an instance.
+const maxConcurrentSaves = 8
 
-// Init completes a Dispatcher whose exported fields are set. Exports end with ctx.
+// Init completes a Dispatcher whose exported fields are set. ctx ends its exports.
 func (d *Dispatcher) Init(ctx context.Context) {
-	d.load = inflight.New()
-	d.stores = breaker.New(d.Now)
-	d.ejected = breaker.New(d.Now)
-	d.callees = breaker.New(d.Now)
-	d.budget = limit.NewBudget(0)
-	d.keeps = make(chan struct{}, maxKeeps)
-	d.keepsCtx = ctx
+	d.loads = inflight.New()
+	d.storeBreakers = breaker.New(d.Now)
+	d.targetBreakers = breaker.New(d.Now)
+	d.serviceBreakers = breaker.New(d.Now)
+	d.retryBudget = limit.NewBudget(0)
+	d.saveSlots = make(chan struct{}, maxConcurrentSaves)
+	d.savesCtx = ctx
 }
 
-// Wait returns when no export is under way.
-func (d *Dispatcher) Wait() { d.keepsWG.Wait() }
+// Wait returns when no export is in progress.
+func (d *Dispatcher) Wait() { d.savesWG.Wait() }
 
-// earn credits the retry budget with one request.
-func (d *Dispatcher) earn(share float64) {
+// creditRetryBudget credits the retry budget for one request. share is the number of
+// retries per request.
+func (d *Dispatcher) creditRetryBudget(share float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.budget.SetRatio(share)
-	d.budget.Deposit()
+	d.retryBudget.SetRatio(share)
+	d.retryBudget.Deposit()
 }
 
-// spend takes one retry from the budget, if there is one.
-func (d *Dispatcher) spend() bool {
+// takeRetry takes one retry from the budget and reports whether there was one.
+func (d *Dispatcher) takeRetry() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	ok := d.budget.TryWithdraw()
+	ok := d.retryBudget.TryWithdraw()
 	if !ok {
 		metric.RetryBudgetRefusals.Inc()
 	}
 	return ok
 }
 
-// beliefs are what routing goes by.
-func (d *Dispatcher) beliefs() route.Hints {
-	if d.Truth != nil {
-		return d.Truth
+// routeHints returns the estimates that routing uses.
+func (d *Dispatcher) routeHints() route.Hints {
+	if d.OracleHints != nil {
+		return d.OracleHints
 	}
-	return hints{d}
+	return localHints{d}
 }
 
-// judgeTarget counts an attempt for or against its target. A refusal is no sign of
-// ill health, nor is anything that the caller did.
-func (d *Dispatcher) judgeTarget(name string, ev attempt.Event) {
+// recordTargetResult records the end of an attempt in the target's circuit breaker. A
+// refusal is no sign of ill health, nor is anything that the caller did, so neither counts
+// as a failure.
+func (d *Dispatcher) recordTargetResult(name string, ev attempt.Event) {
 	switch ev {
 	case attempt.NotSent, attempt.FailedBeforeResponse, attempt.FailedMidResponse, attempt.Mismatched:
-		d.ejected.RecordResult(name, false)
+		d.targetBreakers.RecordResult(name, false)
 	case attempt.Done:
-		d.ejected.RecordResult(name, true)
+		d.targetBreakers.RecordResult(name, true)
 	}
 }
 
-// eventOf translates an edge's error into the attempt machine's event. An end
-// of the request's own context goes before what the edge reports of it.
-func eventOf(ctx context.Context, err error) attempt.Event {
+// attemptEvent returns the attempt event for an error of a target call. The end of the
+// request's own context takes precedence over the reported error.
+func attemptEvent(ctx context.Context, err error) attempt.Event {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
 		return attempt.CallerGone
@@ -137,7 +142,7 @@
 	var notSent *target.NotSentError
 	var refused *target.RefusedError
 	var mismatch *target.MismatchError
-	var broken *target.IncompleteError
+	var incomplete *target.IncompleteError
 	switch {
 	case errors.As(err, &notSent):
 		return attempt.NotSent
@@ -145,26 +150,27 @@
 		return attempt.Refused
 	case errors.As(err, &mismatch):
 		return attempt.Mismatched
-	case errors.As(err, &broken) && broken.ResponseStarted:
+	case errors.As(err, &incomplete) && incomplete.ResponseStarted:
 		return attempt.FailedMidResponse
 	}
 	return attempt.FailedBeforeResponse
 }
 
-// failure builds the caller's problem from a verdict.
-func failure(id string, v attempt.Verdict, cause error) *problem.Problem {
-	p := &problem.Problem{Kind: v.Kind, Execution: v.Execution, RequestID: id, Detail: problem.Detail(v.Kind)}
+// newProblem returns the problem for a verdict that fails the request.
+func newProblem(id string, verdict attempt.Verdict, cause error) *problem.Problem {
+	p := &problem.Problem{Kind: verdict.Kind, Execution: verdict.Execution, RequestID: id, Detail: problem.Detail(verdict.Kind)}
 	var refused *target.RefusedError
 	if errors.As(cause, &refused) && refused.RetryAfter > 0 {
 		p.RetryAfter = refused.RetryAfter
-	} else if v.Execution == problem.NotRun {
+	} else if verdict.Execution == problem.NotRun {
 		p.RetryAfter = time.Second
 	}
 	return p
 }
 
-// backoff waits a jittered moment before a second or later retry.
-func backoff(ctx context.Context, retries int) {
+// waitBackoff waits a random time before the second and each later retry. Its bound
+// doubles with each retry.
+func waitBackoff(ctx context.Context, retries int) {
 	if retries <= 1 {
 		return
 	}
@@ -172,7 +178,7 @@
 	wait.For(ctx, time.Duration(rand.Int64N(int64(base))))
 }
 
-// Bounds of the backoff between retries.
+// Bounds of the wait before a retry.
 const (
 	backoffBase = 10 * time.Millisecond
 	backoffMax  = 500 * time.Millisecond
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -20,347 +20,354 @@
 	"github.com/shedhoist/shedhoist/internal/view"
 )
 
-// Request is one model run, admitted.
+// Request is an admitted request for a model run.
 type Request struct {
 	ID        string
 	Customer  *view.Customer
 	View      *view.View
 	Model     *config.Model
 	Adapter   string
-	Path      string // the engine's path
-	Canonical string // prompt in canonical form; let go once the answer has begun
+	Path      string // path at the engine
+	Canonical string // prompt in canonical form; released when the response starts
 	Arrived   time.Time
-	// Body builds the engine's request around what the run's attempt needs.
+	// Body builds the engine's request for an attempt with the given parameters.
 	Body func(target.Extension) target.Body
 }
 
-// Live is a run under way. It belongs to one goroutine.
-type Live struct {
-	d       *Dispatcher
-	ctx     context.Context
-	cancel  context.CancelFunc
-	req     *Request
-	view    *view.View
-	version string
-	keys    []prefix.Key
-	names   []string // of the keys, in hexadecimal
-	salt    string
-	tokens  int
-	machine *attempt.Request
-	tried   []string
-	retries int
+// Run is a model run in progress. It is not safe for concurrent use.
+type Run struct {
+	d            *Dispatcher
+	ctx          context.Context
+	cancel       context.CancelFunc
+	req          *Request
+	view         *view.View
+	version      string
+	keys         []prefix.Key
+	keyNames     []string // keys in hexadecimal
+	salt         string
+	promptTokens int
+	machine      *attempt.Request
+	triedTargets []string
+	retries      int
 
-	target *route.Target
-	stream *target.Stream
-	watch  *time.Timer
-	load   *inflight.Load
-	queued bool // its prompt still counts as queued at the target
+	target         *route.Target
+	stream         *target.Stream
+	idleTimer      *time.Timer
+	load           *inflight.Load
+	prefillPending bool // the prompt still counts as queued at the target
 
-	first   *target.Chunk // read ahead by Start
-	text    strings.Builder
-	rec     *explain.Record
-	usage   target.Usage
-	tokenMS float64 // when the last token came, ms after arrival
-	ending  bool
+	firstChunk    *target.Chunk // read by Start, not yet returned by Next
+	deliveredText strings.Builder
+	rec           *explain.Record
+	usage         target.Usage
+	lastTokenMS   float64 // time of the last token, ms after arrival
+	ended         bool
 
-	failedZone string   // zone of the last target that failed
-	pinned     []string // versions that no target took the run with
-	asking     bool     // targets asked for rest when it was placed last
+	failedZone    string   // zone of the last target that failed
+	triedVersions []string // versions for which no target was left
+	inBackoff     bool     // at the last placement a target in backoff could have served the run
 }
 
-// Deadline is when a run of a model ends at the latest that arrived at that time.
+// Deadline returns the deadline of a run of model m that arrived at the given time.
 func Deadline(m *config.Model, arrived time.Time) time.Time {
 	return arrived.Add(time.Duration(m.DeadlineMS) * time.Millisecond)
 }
 
-// Start places a run and returns when its first event is there, or the final
+// Start places a run and returns when its first event has arrived, or returns the final
 // problem. The caller must Close the run.
-func (d *Dispatcher) Start(ctx context.Context, req *Request) (*Live, error) {
+func (d *Dispatcher) Start(ctx context.Context, req *Request) (*Run, error) {
 	ctx, cancel := context.WithDeadline(ctx, Deadline(req.Model, req.Arrived))
-	l := &Live{d: d, ctx: ctx, cancel: cancel, req: req, view: req.View, tokens: prefix.EstimateTokens(len(req.Canonical)),
+	r := &Run{d: d, ctx: ctx, cancel: cancel, req: req, view: req.View, promptTokens: prefix.EstimateTokens(len(req.Canonical)),
 		machine: attempt.New(true, true, req.View.Policy.MaxAttempts)}
-	l.rec = &explain.Record{ID: req.ID, Instance: d.Instance, Customer: req.Customer.Name, Kind: "model", Name: req.Model.Name,
-		Adapter: req.Adapter, Generation: req.View.Head.Generation, Arrived: req.Arrived, PromptTokens: l.tokens}
-	l.pin()
-	d.earn(req.View.Policy.RetryShare)
-	if err := l.attempt(); err != nil {
-		l.Close()
+	r.rec = &explain.Record{ID: req.ID, Instance: d.Instance, Customer: req.Customer.Name, Kind: "model", Name: req.Model.Name,
+		Adapter: req.Adapter, Generation: req.View.Head.Generation, Arrived: req.Arrived, PromptTokens: r.promptTokens}
+	r.pinVersion()
+	d.creditRetryBudget(req.View.Policy.RetryShare)
+	if err := r.startStream(); err != nil {
+		r.Close()
 		return nil, err
 	}
-	c, err := l.Next()
+	c, err := r.Next()
 	if err != nil && !errors.Is(err, io.EOF) {
-		l.Close()
+		r.Close()
 		return nil, err
 	}
 	if err == nil {
-		l.first = &c
+		r.firstChunk = &c
 	}
-	return l, nil
+	return r, nil
 }
 
-// attempt places the run and starts its stream, as often as the machine says.
-func (l *Live) attempt() error {
+// startStream places the run and opens its stream. It makes as many attempts as the
+// state machine allows.
+func (r *Run) startStream() error {
 	for {
-		att, ext, ok := l.place()
-		if !ok && l.repin() {
+		att, ext, ok := r.placeAttempt()
+		if !ok && r.switchVersion() {
 			continue
 		}
 		if !ok {
-			return l.fail(noTarget(l.machine, l.asking), nil)
+			return r.fail(noTargetVerdict(r.machine, r.inBackoff), nil)
 		}
-		if err := l.shed(att); err != nil {
+		if err := r.shedIfLate(att); err != nil {
 			return err
 		}
-		stream, err := l.send(ext)
+		stream, err := r.openStream(ext)
 		if err == nil {
-			l.stream = stream
+			r.stream = stream
 			return nil
 		}
-		var rejected *target.RejectedError
-		if errors.As(err, &rejected) {
-			return l.reject(rejected)
+		var rejection *target.RejectedError
+		if errors.As(err, &rejection) {
+			return r.reject(rejection)
 		}
-		if err := l.after(eventOf(l.ctx, err), err, att); err != nil {
+		if err := r.attemptFailed(attemptEvent(r.ctx, err), err, att); err != nil {
 			return err
 		}
 	}
 }
 
-// after takes an attempt's failed end. It returns nil if another attempt follows.
-func (l *Live) after(ev attempt.Event, cause error, att *explain.Attempt) error {
-	l.leave()
-	l.d.judgeTarget(att.Target, ev)
-	l.d.giveRest(l.d.ejected, att.Target, l.req.ID, cause)
+// attemptFailed records a failed attempt. It returns nil if another attempt follows, or
+// else the final problem.
+func (r *Run) attemptFailed(ev attempt.Event, cause error, att *explain.Attempt) error {
+	r.releaseTarget()
+	r.d.recordTargetResult(att.Target, ev)
+	r.d.recordBackoff(r.d.targetBreakers, att.Target, r.req.ID, cause)
 	if ev != attempt.Refused {
-		l.failedZone = l.target.Zone
+		r.failedZone = r.target.Zone
 	}
 	att.Result = ev.String()
 	metric.Attempts(att.Target, ev.String()).Inc()
 	if ev == attempt.Mismatched {
 		metric.MismatchedResponses.Inc()
 	}
-	v := l.machine.Step(ev, l.d.spend)
-	l.d.Log.WithField("request", l.req.ID).WithField("target", att.Target).WithField("ended", att.Result).
+	v := r.machine.Step(ev, r.d.takeRetry)
+	r.d.Log.WithField("request", r.req.ID).WithField("target", att.Target).WithField("ended", att.Result).
 		WithField("next", v.Action.String()).WithError(cause).Debug("attempt ended")
 	if v.Action == attempt.Fail {
-		return l.fail(v, cause)
+		return r.fail(v, cause)
 	}
 	att.Next = v.Action.String()
-	if v.Action == attempt.Resume && l.text.Len() > 0 {
+	if v.Action == attempt.Resume && r.deliveredText.Len() > 0 {
 		metric.Resumes.Inc()
 	} else {
 		metric.Retries.Inc()
 	}
-	l.retries++
-	backoff(l.ctx, l.retries)
-	l.view = l.d.View.Load()
+	r.retries++
+	waitBackoff(r.ctx, r.retries)
+	r.view = r.d.View.Load()
 	return nil
 }
 
-// send starts the stream at the placed target.
-func (l *Live) send(ext target.Extension) (*target.Stream, error) {
-	l.load = l.d.load.Get(l.target.Name)
-	l.load.Requests.Add(1)
-	l.load.PrefillTokens.Add(int64(l.tokens))
-	l.queued = true
-	deadline, _ := l.ctx.Deadline()
-	ctx, cancel := context.WithCancel(l.ctx)
-	l.watch = time.AfterFunc(l.patience(), cancel)
-	stream, err := l.d.Targets.Start(ctx, target.Run{Target: l.target.Name, Address: l.target.Address, Path: l.req.Path,
-		ID: l.req.ID, Body: l.req.Body(ext), Deadline: deadline, Now: l.d.Now()})
+// openStream starts the request at the chosen target.
+func (r *Run) openStream(ext target.Extension) (*target.Stream, error) {
+	r.load = r.d.loads.Get(r.target.Name)
+	r.load.Requests.Add(1)
+	r.load.PrefillTokens.Add(int64(r.promptTokens))
+	r.prefillPending = true
+	deadline, _ := r.ctx.Deadline()
+	ctx, cancel := context.WithCancel(r.ctx)
+	r.idleTimer = time.AfterFunc(r.headTimeout(), cancel)
+	stream, err := r.d.Targets.Start(ctx, target.Run{Target: r.target.Name, Address: r.target.Address, Path: r.req.Path,
+		ID: r.req.ID, Body: r.req.Body(ext), Deadline: deadline, Now: r.d.Now()})
 	if err != nil {
 		cancel()
 	}
 	return stream, err
 }
 
-// patience is the longest wait for the head of an answer: a long prompt may
-// take longer than the silence allowed between events.
-func (l *Live) patience() time.Duration {
-	predicted := time.Duration(l.rec.Attempts[len(l.rec.Attempts)-1].PredictedMS * float64(time.Millisecond))
-	return max(l.d.Stall, patienceFactor*predicted)
+// headTimeout returns the longest wait for the start of a response. A long prompt may
+// take longer to compute than StreamIdleTimeout allows between events.
+func (r *Run) headTimeout() time.Duration {
+	predicted := time.Duration(r.rec.Attempts[len(r.rec.Attempts)-1].PredictedMS * float64(time.Millisecond))
+	return max(r.d.StreamIdleTimeout, headTimeoutFactor*predicted)
 }
 
-// patienceFactor is how many times its predicted first token an attempt may take.
-const patienceFactor = 4
+// headTimeoutFactor limits the wait for the start of a response to a multiple of the
+// predicted time to the first token.
+const headTimeoutFactor = 4
 
-// leave ends the attempt's hold on its target.
-func (l *Live) leave() {
-	if l.watch != nil {
-		l.watch.Stop()
+// releaseTarget closes the stream of the attempt and removes its load from the target.
+func (r *Run) releaseTarget() {
+	if r.idleTimer != nil {
+		r.idleTimer.Stop()
 	}
-	if l.stream != nil {
-		l.stream.Close()
-		l.stream = nil
+	if r.stream != nil {
+		r.stream.Close()
+		r.stream = nil
 	}
-	if l.load != nil {
-		l.load.Requests.Add(-1)
-		l.computed()
-		l.load = nil
+	if r.load != nil {
+		r.load.Requests.Add(-1)
+		r.prefillDone()
+		r.load = nil
 	}
 }
 
-// computed says that the prompt no longer waits at the target.
-func (l *Live) computed() {
-	if l.queued {
-		l.load.PrefillTokens.Add(-int64(l.tokens))
-		l.queued = false
+// prefillDone removes the prompt from the tokens queued at the target.
+func (r *Run) prefillDone() {
+	if r.prefillPending {
+		r.load.PrefillTokens.Add(-int64(r.promptTokens))
+		r.prefillPending = false
 	}
 }
 
-// Next returns the next event of the answer, across as many targets as it
-// takes. io.EOF is the whole answer's end; any other error is a
+// Next returns the next event of the response, which may come from several targets in
+// turn. io.EOF marks the end of the complete response; any other error is a
 // *problem.Problem.
-func (l *Live) Next() (target.Chunk, error) {
-	if c := l.first; c != nil {
-		l.first = nil
+func (r *Run) Next() (target.Chunk, error) {
+	if c := r.firstChunk; c != nil {
+		r.firstChunk = nil
 		return *c, nil
 	}
-	if l.ending {
+	if r.ended {
 		return target.Chunk{}, io.EOF
 	}
 	for {
-		c, err := l.stream.Next()
+		c, err := r.stream.Next()
 		if err == nil {
-			l.watch.Reset(l.d.Stall)
-			if l.note(&c) {
+			r.idleTimer.Reset(r.d.StreamIdleTimeout)
+			if r.acceptChunk(&c) {
 				return c, nil
 			}
 			continue
 		}
-		att := &l.rec.Attempts[len(l.rec.Attempts)-1]
+		att := &r.rec.Attempts[len(r.rec.Attempts)-1]
 		if errors.Is(err, io.EOF) {
-			l.finish(att)
+			r.finish(att)
 			return target.Chunk{}, io.EOF
 		}
-		if err := l.after(eventOf(l.ctx, err), err, att); err != nil {
+		if err := r.attemptFailed(attemptEvent(r.ctx, err), err, att); err != nil {
 			return target.Chunk{}, err
 		}
-		if err := l.attempt(); err != nil {
+		if err := r.startStream(); err != nil {
 			return target.Chunk{}, err
 		}
 	}
 }
 
-// note takes an event into account; it returns false for one that the caller
-// must not see twice, such as the opening event of a resumed stream.
-func (l *Live) note(c *target.Chunk) bool {
-	if l.queued {
-		l.computed()
-		l.learn()
-		l.req.Canonical = "" // the version is settled: no key is made from it again
+// acceptChunk records an event. It returns false for an event that the caller must not
+// see twice, such as the opening event of a resumed stream.
+func (r *Run) acceptChunk(chunk *target.Chunk) bool {
+	if r.prefillPending {
+		r.prefillDone()
+		r.recordResidency()
+		r.req.Canonical = "" // the version is final, so no more keys are derived from it
 	}
-	if c.Usage != nil {
-		l.usage = *c.Usage
+	if chunk.Usage != nil {
+		r.usage = *chunk.Usage
 		return true
 	}
-	if c.Text == "" && c.FinishReason == "" && l.text.Len() > 0 {
+	if chunk.Text == "" && chunk.FinishReason == "" && r.deliveredText.Len() > 0 {
 		return false
 	}
-	if c.Text != "" {
-		l.timeToken()
+	if chunk.Text != "" {
+		r.recordTokenTime()
 	}
-	l.text.WriteString(c.Text)
+	r.deliveredText.WriteString(chunk.Text)
 	return true
 }
 
-// timeToken measures the time to the first token, and from token to token.
-func (l *Live) timeToken() {
-	at := l.sinceMS()
-	if l.rec.FirstTokenMS == 0 {
-		l.rec.FirstTokenMS = at
-		metric.FirstToken.Update(at / 1000)
+// recordTokenTime measures the time to the first token and between tokens.
+func (r *Run) recordTokenTime() {
+	nowMS := r.elapsedMS()
+	if r.rec.FirstTokenMS == 0 {
+		r.rec.FirstTokenMS = nowMS
+		metric.FirstToken.Update(nowMS / 1000)
 	} else {
-		metric.BetweenTokens.Update((at - l.tokenMS) / 1000)
+		metric.BetweenTokens.Update((nowMS - r.lastTokenMS) / 1000)
 	}
-	l.tokenMS = at
+	r.lastTokenMS = nowMS
 }
 
-// learn: the target has just computed, restored or reused the whole chain.
-func (l *Live) learn() { l.d.Hints.Add(l.target.Name, l.keys) }
+// recordResidency records that the target holds the whole chain, which it has just
+// computed, restored or reused.
+func (r *Run) recordResidency() { r.d.Hints.Add(r.target.Name, r.keys) }
 
-func (l *Live) sinceMS() float64 {
-	return float64(l.d.Now().Sub(l.req.Arrived)) / float64(time.Millisecond)
+func (r *Run) elapsedMS() float64 {
+	return float64(r.d.Now().Sub(r.req.Arrived)) / float64(time.Millisecond)
 }
 
-// finish closes the books of a whole answer and decides whether to keep its cache.
-func (l *Live) finish(att *explain.Attempt) {
-	l.ending = true
-	l.machine.Step(attempt.Done, l.d.spend)
-	l.d.judgeTarget(att.Target, attempt.Done)
+// finish completes the record of a complete response, and saves its cache in a store if
+// that is worthwhile.
+func (r *Run) finish(att *explain.Attempt) {
+	r.ended = true
+	r.machine.Step(attempt.Done, r.d.takeRetry)
+	r.d.recordTargetResult(att.Target, attempt.Done)
 	att.Result = attempt.Done.String()
 	metric.Attempts(att.Target, att.Result).Inc()
-	u := l.usage
-	l.rec.CachedTokens, l.rec.RestoredTokens, l.rec.GeneratedTokens = u.PromptDetails.CachedTokens, u.PromptDetails.RestoredTokens, u.CompletionTokens
+	u := r.usage
+	r.rec.CachedTokens, r.rec.RestoredTokens, r.rec.GeneratedTokens = u.PromptDetails.CachedTokens, u.PromptDetails.RestoredTokens, u.CompletionTokens
 	metric.PromptTokens.Add(u.PromptTokens)
 	metric.CachedTokens.Add(u.PromptDetails.CachedTokens)
 	metric.RestoredTokens.Add(u.PromptDetails.RestoredTokens)
 	metric.GeneratedTokens.Add(u.CompletionTokens)
-	if l.worthKeeping() && l.newToStore(att) {
-		l.d.keep(l)
+	if r.shouldSave() && r.storeMayLackChunks(att) {
+		r.d.saveCache(r)
 	}
-	l.close("done", problem.Ran)
+	r.closeRecord("done", problem.Ran)
 }
 
-// worthKeeping says whether the prompt is long enough for a store.
-func (l *Live) worthKeeping() bool {
-	return len(l.keys) > 0 && !l.view.Policy.NoStores && len(l.keys)*prefix.ChunkBytes/prefix.BytesPerToken >= l.view.Policy.KeepTokens
+// shouldSave reports whether the prompt is long enough to be saved in a store.
+func (r *Run) shouldSave() bool {
+	return len(r.keys) > 0 && !r.view.Policy.NoStores && len(r.keys)*prefix.ChunkBytes/prefix.BytesPerToken >= r.view.Policy.KeepTokens
 }
 
-// newToStore says whether the store may lack part of the chain: something was
-// computed rather than restored.
-func (l *Live) newToStore(att *explain.Attempt) bool {
-	return l.usage.PromptTokens-l.usage.PromptDetails.CachedTokens >= prefix.ChunkBytes/prefix.BytesPerToken || att.Action == route.Recompute.String()
+// storeMayLackChunks reports whether a store may lack part of the chain, because part of
+// it was computed rather than restored.
+func (r *Run) storeMayLackChunks(att *explain.Attempt) bool {
+	return r.usage.PromptTokens-r.usage.PromptDetails.CachedTokens >= prefix.ChunkBytes/prefix.BytesPerToken || att.Action == route.Recompute.String()
 }
 
-// fail closes the books of a request that ends in a problem.
-func (l *Live) fail(v attempt.Verdict, cause error) error {
-	l.ending = true
-	l.close(string(v.Kind), v.Execution)
-	return failure(l.req.ID, v, cause)
+// fail completes the record of a run that ends in a problem.
+func (r *Run) fail(v attempt.Verdict, cause error) error {
+	r.ended = true
+	r.closeRecord(string(v.Kind), v.Execution)
+	return newProblem(r.req.ID, v, cause)
 }
 
-// reject passes on a target's own judgement of the request.
-func (l *Live) reject(r *target.RejectedError) error {
-	l.leave()
-	l.ending = true
-	att := &l.rec.Attempts[len(l.rec.Attempts)-1]
+// reject ends a run that the engine rejected as invalid.
+func (r *Run) reject(rejection *target.RejectedError) error {
+	r.releaseTarget()
+	r.ended = true
+	att := &r.rec.Attempts[len(r.rec.Attempts)-1]
 	att.Result = "rejected"
-	p := problem.New(problem.BadRequest, "the engine rejected the request with status "+http.StatusText(r.Status))
-	p.RequestID = l.req.ID
-	l.close(string(p.Kind), p.Execution)
+	p := problem.New(problem.BadRequest, "the engine rejected the request with status "+http.StatusText(rejection.Status))
+	p.RequestID = r.req.ID
+	r.closeRecord(string(p.Kind), p.Execution)
 	return p
 }
 
-func (l *Live) close(outcome string, ex problem.Execution) {
-	if l.rec.Outcome != "" {
+// closeRecord completes the record of the run and logs it, the first time it is called.
+func (r *Run) closeRecord(outcome string, execution problem.Execution) {
+	if r.rec.Outcome != "" {
 		return
 	}
-	l.rec.Outcome, l.rec.Execution, l.rec.TotalMS = outcome, ex, l.sinceMS()
+	r.rec.Outcome, r.rec.Execution, r.rec.TotalMS = outcome, execution, r.elapsedMS()
 	metric.Requests("model", outcome).Inc()
-	l.d.Why.Add(l.rec)
-	l.d.Log.WithField("request", l.rec.ID).WithField("customer", l.rec.Customer).WithField("model", l.rec.Name).
-		WithField("target", l.rec.LastTarget()).WithField("decision", l.rec.LastAction()).WithField("attempts", len(l.rec.Attempts)).
-		WithField("outcome", outcome).WithField("execution", string(ex)).WithField("first_ms", l.rec.FirstTokenMS).
-		WithField("total_ms", l.rec.TotalMS).Info("request")
+	r.d.Explain.Add(r.rec)
+	r.d.Log.WithField("request", r.rec.ID).WithField("customer", r.rec.Customer).WithField("model", r.rec.Name).
+		WithField("target", r.rec.LastTarget()).WithField("decision", r.rec.LastAction()).WithField("attempts", len(r.rec.Attempts)).
+		WithField("outcome", outcome).WithField("execution", string(execution)).WithField("first_ms", r.rec.FirstTokenMS).
+		WithField("total_ms", r.rec.TotalMS).Info("request")
 }
 
-// Usage is the count of tokens of a whole answer.
-func (l *Live) Usage() target.Usage { return l.usage }
+// Usage returns the token counts of a complete response.
+func (r *Run) Usage() target.Usage { return r.usage }
 
-// Record is the run's why-record.
-func (l *Live) Record() *explain.Record { return l.rec }
+// Record returns the run's explain record.
+func (r *Run) Record() *explain.Record { return r.rec }
 
-// Close ends the run. One that is not whole is cancelled at its target.
-func (l *Live) Close() {
-	l.leave()
-	if !l.ending {
-		l.ending = true
-		l.machine.Step(attempt.CallerGone, l.d.spend)
-		if n := len(l.rec.Attempts); n > 0 {
-			l.rec.Attempts[n-1].Result = attempt.CallerGone.String()
+// Close ends the run. If the response is not complete, the request is cancelled at its
+// target.
+func (r *Run) Close() {
+	r.releaseTarget()
+	if !r.ended {
+		r.ended = true
+		r.machine.Step(attempt.CallerGone, r.d.takeRetry)
+		if n := len(r.rec.Attempts); n > 0 {
+			r.rec.Attempts[n-1].Result = attempt.CallerGone.String()
 		}
-		l.close(string(problem.CallerGone), problem.MayHaveRun)
+		r.closeRecord(string(problem.CallerGone), problem.MayHaveRun)
 	}
-	l.cancel()
+	r.cancel()
 }
--- a/internal/dispatch/service.go
+++ b/internal/dispatch/service.go
@@ -16,36 +16,38 @@
 	"github.com/shedhoist/shedhoist/internal/view"
 )
 
-// ServiceRequest is one request to a plain service, admitted.
+// ServiceRequest is an admitted request to a plain service.
 type ServiceRequest struct {
 	ID       string
 	Customer *view.Customer
 	View     *view.View
 	Service  *config.Service
 	Method   string
-	Path     string // below the service, with query
+	Path     string // path below the service, with query
 	Header   http.Header
 	Body     []byte
 	Arrived  time.Time
 }
 
-// DefaultServiceTimeout bounds a service call that declares no timeout.
+// DefaultServiceTimeout limits calls of a service that sets no timeout.
 const DefaultServiceTimeout = 30 * time.Second
 
-// Idempotent says whether a request to a service may be sent again. What no
-// route names may not.
+// Idempotent reports whether a request to a service may be sent again. The route with the
+// longest path that matches the request's path and method decides. A request that matches
+// no route may not be sent again.
 func Idempotent(s *config.Service, method, path string) bool {
-	best, out := -1, false
+	longest, idempotent := -1, false
 	for _, r := range s.Routes {
-		if !strings.HasPrefix(path, r.Path) || len(r.Path) <= best || !allows(r.Methods, method) {
+		if !strings.HasPrefix(path, r.Path) || len(r.Path) <= longest || !allowsMethod(r.Methods, method) {
 			continue
 		}
-		best, out = len(r.Path), r.Idempotent
+		longest, idempotent = len(r.Path), r.Idempotent
 	}
-	return out
+	return idempotent
 }
 
-func allows(methods []string, method string) bool {
+// allowsMethod reports whether a route's methods include method. No methods means all.
+func allowsMethod(methods []string, method string) bool {
 	for _, m := range methods {
 		if m == method {
 			return true
@@ -54,7 +56,7 @@
 	return len(methods) == 0
 }
 
-// Timeout is how long a call of a service may last.
+// Timeout returns the time limit of a call of a service.
 func Timeout(s *config.Service) time.Duration {
 	if s.TimeoutMS > 0 {
 		return time.Duration(s.TimeoutMS) * time.Millisecond
@@ -62,8 +64,8 @@
 	return DefaultServiceTimeout
 }
 
-// Call sends a request to a service and returns its whole answer, or the
-// final *problem.Problem.
+// Call sends a request to a service and returns its complete response, or the final
+// *problem.Problem.
 func (d *Dispatcher) Call(ctx context.Context, req *ServiceRequest) (*target.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, Timeout(req.Service))
 	defer cancel()
@@ -72,47 +74,47 @@
 		Generation: req.View.Head.Generation, Arrived: req.Arrived}
 	claim, replay, err := d.claim(ctx, req, idempotent)
 	if replay != nil || err != nil {
-		d.closeReplay(rec, err)
+		d.closeWithoutDispatch(rec, err)
 		return replay, err
 	}
 	machine := attempt.New(idempotent, false, req.View.Policy.MaxAttempts)
-	d.earn(req.View.Policy.RetryShare)
-	answer, verdict, cause := d.tryInstances(ctx, req, machine, rec, idempotent)
+	d.creditRetryBudget(req.View.Policy.RetryShare)
+	resp, verdict, cause := d.tryInstances(ctx, req, machine, rec, idempotent)
 	outcome := "done"
-	if answer == nil {
+	if resp == nil {
 		outcome = string(verdict.Kind)
 	}
-	d.closeCall(rec, outcome, verdict.Execution)
-	d.settle(claim, answer, verdict.Execution)
-	if answer == nil {
-		return nil, failure(req.ID, verdict, cause)
+	d.closeServiceRecord(rec, outcome, verdict.Execution)
+	d.settle(claim, resp, verdict.Execution)
+	if resp == nil {
+		return nil, newProblem(req.ID, verdict, cause)
 	}
-	return answer, nil
+	return resp, nil
 }
 
-// tryInstances goes through the service's instances, nearest first, until the
-// machine ends the request. Those that ask for rest are passed over.
-func (d *Dispatcher) tryInstances(ctx context.Context, req *ServiceRequest, m *attempt.Request, rec *explain.Record, idempotent bool) (*target.Response, attempt.Verdict, error) {
+// tryInstances tries the service's instances, nearest first, until the state machine ends
+// the request. It skips instances in backoff.
+func (d *Dispatcher) tryInstances(ctx context.Context, req *ServiceRequest, machine *attempt.Request, rec *explain.Record, idempotent bool) (*target.Response, attempt.Verdict, error) {
 	var cause error
-	retries, asking := 0, false
-	for _, inst := range d.order(req) {
-		if !d.callees.InBackoff(inst.Name) {
-			backoff(ctx, retries)
+	retries, inBackoff := 0, false
+	for _, inst := range d.orderedInstances(req) {
+		if !d.serviceBreakers.InBackoff(inst.Name) {
+			waitBackoff(ctx, retries)
 		}
-		att := explain.Attempt{Target: inst.Name, StartMS: d.sinceMS(req.Arrived)}
-		if d.callees.InBackoff(inst.Name) { // perhaps since the wait only
-			asking = true
+		att := explain.Attempt{Target: inst.Name, StartMS: d.elapsedMS(req.Arrived)}
+		if d.serviceBreakers.InBackoff(inst.Name) { // it may have requested the backoff during the wait
+			inBackoff = true
 			continue
 		}
 		retries++
-		answer, err := d.Targets.Do(ctx, target.Call{Target: inst.Name, Address: inst.Address, Method: req.Method, Path: req.Path,
-			Header: req.Header, Body: req.Body, ID: req.ID, EchoesID: req.Service.EchoesID, Idempotent: idempotent, MaxResponseBytes: d.Answer})
+		resp, err := d.Targets.Do(ctx, target.Call{Target: inst.Name, Address: inst.Address, Method: req.Method, Path: req.Path,
+			Header: req.Header, Body: req.Body, ID: req.ID, EchoesID: req.Service.EchoesID, Idempotent: idempotent, MaxResponseBytes: d.MaxResponseBytes})
 		ev := attempt.Done
 		if err != nil {
-			ev, cause = eventOf(ctx, err), err
-			d.giveRest(d.callees, inst.Name, req.ID, err)
+			ev, cause = attemptEvent(ctx, err), err
+			d.recordBackoff(d.serviceBreakers, inst.Name, req.ID, err)
 		}
-		verdict := m.Step(ev, d.spend)
+		verdict := machine.Step(ev, d.takeRetry)
 		att.Result = ev.String()
 		if verdict.Action == attempt.Retry {
 			att.Next = verdict.Action.String()
@@ -124,39 +126,40 @@
 		metric.Attempts(inst.Name, att.Result).Inc()
 		rec.Attempts = append(rec.Attempts, att)
 		if verdict.Action != attempt.Retry {
-			return answer, verdict, cause
+			return resp, verdict, cause
 		}
 	}
-	return nil, noTarget(m, asking), cause
+	return nil, noTargetVerdict(machine, inBackoff), cause
 }
 
-// order lists the service's instances: own zone first, else at random, what
-// is drained left out.
-func (d *Dispatcher) order(req *ServiceRequest) []config.ServiceInstance {
-	var near, far []config.ServiceInstance
+// orderedInstances returns the service's instances without the drained ones: those of this
+// zone first, in random order within and outside the zone.
+func (d *Dispatcher) orderedInstances(req *ServiceRequest) []config.ServiceInstance {
+	var sameZone, otherZones []config.ServiceInstance
 	for _, inst := range req.Service.Instances {
 		switch {
 		case req.View.Drained[inst.Name]:
 		case inst.Zone == d.Zone:
-			near = append(near, inst)
+			sameZone = append(sameZone, inst)
 		default:
-			far = append(far, inst)
+			otherZones = append(otherZones, inst)
 		}
 	}
-	rand.Shuffle(len(near), func(i, j int) { near[i], near[j] = near[j], near[i] })
-	rand.Shuffle(len(far), func(i, j int) { far[i], far[j] = far[j], far[i] })
-	return append(near, far...)
+	rand.Shuffle(len(sameZone), func(i, j int) { sameZone[i], sameZone[j] = sameZone[j], sameZone[i] })
+	rand.Shuffle(len(otherZones), func(i, j int) { otherZones[i], otherZones[j] = otherZones[j], otherZones[i] })
+	return append(sameZone, otherZones...)
 }
 
-func (d *Dispatcher) sinceMS(t time.Time) float64 {
+func (d *Dispatcher) elapsedMS(t time.Time) float64 {
 	return float64(d.Now().Sub(t)) / float64(time.Millisecond)
 }
 
-func (d *Dispatcher) closeCall(rec *explain.Record, outcome string, ex problem.Execution) {
-	rec.Outcome, rec.Execution, rec.TotalMS = outcome, ex, d.sinceMS(rec.Arrived)
+// closeServiceRecord completes the record of a service request and logs it.
+func (d *Dispatcher) closeServiceRecord(rec *explain.Record, outcome string, execution problem.Execution) {
+	rec.Outcome, rec.Execution, rec.TotalMS = outcome, execution, d.elapsedMS(rec.Arrived)
 	metric.Requests("service", outcome).Inc()
-	d.Why.Add(rec)
+	d.Explain.Add(rec)
 	d.Log.WithField("request", rec.ID).WithField("customer", rec.Customer).WithField("service", rec.Name).
 		WithField("target", rec.LastTarget()).WithField("attempts", len(rec.Attempts)).WithField("outcome", outcome).
-		WithField("execution", string(ex)).WithField("total_ms", rec.TotalMS).Info("request")
+		WithField("execution", string(execution)).WithField("total_ms", rec.TotalMS).Info("request")
 }
