--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -207,8 +207,8 @@
 }
 
 // recordFailure counts a load or write that failed, and returns the delay before the
-// next step. After maxFailures consecutive failures the queued claims fail, so that
-// their callers do not wait any longer; later claims are tried again.
+// next step. From the maxFailures-th failure after the last completed write on, the queued
+// claims fail, so that their callers do not hang; later claims are tried again.
 func (r *runner) recordFailure() time.Duration {
 	r.failures++
 	metric.LedgerErrors.Inc()
@@ -218,7 +218,8 @@
 	return retryDelay * time.Duration(min(r.failures, 20))
 }
 
-// maxFailures is the number of consecutive failures at which the queued claims fail.
+// maxFailures is the number of failures, without a completed write between them, at
+// which the queued claims fail.
 const maxFailures = 3
 
 // load reads the tip and the segments that are not known yet.
