--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -18,32 +18,32 @@
 	standin "github.com/shedhoist/shedhoist/internal/standin/platform"
 )
 
-func customer(name string) config.Customer {
+func newCustomer(name string) config.Customer {
 	return config.Customer{Name: name, KeyHashes: []string{fmt.Sprintf("%064x", len(name))}, Secret: fmt.Sprintf("%064x", 7)}
 }
 
-func bundle(n int) *config.Bundle {
+func newBundle(n int) *config.Bundle {
 	b := &config.Bundle{Policy: &config.Policy{Candidates: 2}}
 	for i := range n {
-		b.Customers = append(b.Customers, customer(fmt.Sprintf("c%d", i)))
+		b.Customers = append(b.Customers, newCustomer(fmt.Sprintf("c%d", i)))
 		b.Targets = append(b.Targets, config.Target{Name: fmt.Sprintf("t%d", i), Address: "127.0.0.1:1", Zone: "z", Model: "m"})
 	}
 	return b
 }
 
-func repo(t *testing.T) (*config.Repo, *standin.Server) {
+func newRepo(t *testing.T) (*config.Repo, *standin.Server) {
 	t.Helper()
 	p := standin.New("")
 	srv := httptest.NewServer(p.Handler())
 	t.Cleanup(srv.Close)
-	return &config.Repo{Store: platform.NewClient(srv.URL, "", nil), Now: time.Now, Pause: time.Millisecond}, p
+	return &config.Repo{Store: platform.NewClient(srv.URL, "", nil), Now: time.Now, RetryDelay: time.Millisecond}, p
 }
 
-// TestSplitJoin: splitting a bundle and joining its parts gives it back, in
-// whatever order it was written; one change touches one part.
+// TestSplitJoin checks that Join inverts Split, that the order of entries does
+// not change the buckets, and that changing one entry changes one bucket.
 func TestSplitJoin(t *testing.T) {
 	is := is.New(t)
-	b := bundle(100)
+	b := newBundle(100)
 	parts, err := config.Split(b)
 	is.NoErr(err)
 	back, err := config.Join(parts)
@@ -69,11 +69,12 @@
 	is.Equal(differ, 1)
 }
 
-// TestRacingOperators: of many changes made from one generation exactly one is
-// accepted; each loser is told by whom, and nothing of his is in the history.
-func TestRacingOperators(t *testing.T) {
+// TestConcurrentChanges checks that of many concurrent changes made from the
+// same generation exactly one is accepted, and that each of the others gets a
+// ConflictError that names the accepted one.
+func TestConcurrentChanges(t *testing.T) {
 	is := is.New(t)
-	r, _ := repo(t)
+	r, _ := newRepo(t)
 	const operators = 16
 	errs := make([]error, operators)
 	var wg sync.WaitGroup
@@ -81,9 +82,9 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			parts, err := config.Split(bundle(i + 1))
+			parts, err := config.Split(newBundle(i + 1))
 			if err == nil {
-				_, err = r.Accept(t.Context(), config.Change{Parts: parts, Message: fmt.Sprint(i)})
+				_, err = r.Accept(t.Context(), config.Change{NewBuckets: parts, Message: fmt.Sprint(i)})
 			}
 			errs[i] = err
 		}()
@@ -94,38 +95,38 @@
 	is.Equal(h.Generation, uint64(1))
 	won := 0
 	for i, err := range errs {
-		var race *config.RaceError
+		var conflict *config.ConflictError
 		if err == nil {
 			won++
 			is.Equal(h.Message, fmt.Sprint(i))
 			continue
 		}
-		is.True(errors.As(err, &race))
-		is.Equal(race.Winner.Nonce, h.Nonce)
-		is.Equal(race.Mine, fmt.Sprint(i))
+		is.True(errors.As(err, &conflict))
+		is.Equal(conflict.Winner.Nonce, h.Nonce)
+		is.Equal(conflict.Message, fmt.Sprint(i))
 	}
 	is.Equal(won, 1)
 }
 
-// TestLostAnswers: with any number of writes lost before or behind their
-// effect, an apply that says accepted is in the history once, and one that
-// says conflict or uncertain is told apart truthfully.
-func TestLostAnswers(t *testing.T) {
-	r, p := repo(t)
+// TestLostResponses loses writes before or after they take effect. A change
+// reported as accepted must be in the history once, a change reported as a
+// conflict must not be in it, and one of uncertain outcome at most once.
+func TestLostResponses(t *testing.T) {
+	r, p := newRepo(t)
 	message := 0
 	rapid.Check(t, func(t *rapid.T) {
-		p.SetFaults(standin.Faults{LoseWrites: rapid.IntRange(0, 4).Draw(t, "lost answers"), DropWrites: rapid.IntRange(0, 2).Draw(t, "dropped")})
+		p.SetFaults(standin.Faults{LoseWrites: rapid.IntRange(0, 4).Draw(t, "lost responses"), DropWrites: rapid.IntRange(0, 2).Draw(t, "dropped writes")})
 		ctx := context.Background()
 		before, _, err := r.Head(ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
-		parts, err := config.Split(bundle(rapid.IntRange(1, 3).Draw(t, "size")))
+		parts, err := config.Split(newBundle(rapid.IntRange(1, 3).Draw(t, "size")))
 		if err != nil {
 			t.Fatal(err)
 		}
 		message++
-		_, err = r.Accept(ctx, config.Change{Base: before.Generation, Parts: parts, Message: fmt.Sprint(message)})
+		_, err = r.Accept(ctx, config.Change{Base: before.Generation, NewBuckets: parts, Message: fmt.Sprint(message)})
 		p.SetFaults(standin.Faults{})
 		history, herr := r.History(ctx, 10)
 		if herr != nil {
@@ -137,18 +138,19 @@
 				found++
 			}
 		}
-		var race *config.RaceError
+		var conflict *config.ConflictError
 		var uncertain *config.UncertainError
 		switch {
-		case err == nil && found == 1, errors.As(err, &race) && found == 0, errors.As(err, &uncertain) && found <= 1:
+		case err == nil && found == 1, errors.As(err, &conflict) && found == 0, errors.As(err, &uncertain) && found <= 1:
 		default:
-			t.Fatalf("apply said %v, the history holds it %d times", err, found)
+			t.Fatalf("Accept returned %v, the history holds the change %d times", err, found)
 		}
 	})
 }
 
-// TestLoadProblems: problems name the file and line of the later declaration.
-func TestLoadProblems(t *testing.T) {
+// TestLoadErrors checks that errors give the file and line, for duplicates those
+// of the later declaration.
+func TestLoadErrors(t *testing.T) {
 	is := is.New(t)
 	_, err := config.Load(fstest.MapFS{
 		"a.toml": {Data: []byte("[[target]]\nname = \"t\"\naddress = \"127.0.0.1:1\"\nzone = \"z\"\nmodel = \"m\"\n")},
@@ -159,8 +161,8 @@
 		"a.toml:5: target[0].model: no model \"m\"\nb.toml:6: target[0].model: no model \"m\"")
 }
 
-// FuzzLoad: whatever stands in a file, loading it ends in a bundle or in
-// problems, and a bundle that loads can be split and joined.
+// FuzzLoad checks that Load returns a bundle or an error for any input, and that
+// a loaded bundle survives Split and Join.
 func FuzzLoad(f *testing.F) {
 	f.Add([]byte("[[customer]]\nname = \"c\"\n"))
 	f.Add([]byte("[policy]\ncandidates = 99\n[policy]\n"))
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -13,7 +13,7 @@
 	Op     string   `json:"op"` // OpAdd, OpRemove or OpChange
 	Kind   string   `json:"kind"`
 	Name   string   `json:"name"`
-	Fields []string `json:"fields,omitempty"` // of a change: the fields that differ
+	Fields []string `json:"fields,omitempty"` // JSON names of the fields that differ; only for OpChange
 }
 
 // Operations of an Edit.
@@ -23,7 +23,7 @@
 	OpChange = "~"
 )
 
-// String writes the edit on one line.
+// String formats the edit on one line, such as "~ target t1: zone".
 func (e Edit) String() string {
 	s := e.Op + " " + e.Kind + " " + e.Name
 	if len(e.Fields) > 0 {
@@ -34,7 +34,7 @@
 
 type entryKey struct{ kind, name string }
 
-// entries flattens a bundle to JSON objects by kind and name.
+// entries returns all entries of the bundle by kind and name.
 func (b *Bundle) entries() map[entryKey]any {
 	out := map[entryKey]any{}
 	for _, v := range b.Customers {
@@ -61,8 +61,8 @@
 	return out
 }
 
-// Has says whether the bundle declares a machine of that name.
-func (b *Bundle) Has(name string) bool {
+// HasMachine reports whether a target, store or service instance has that name.
+func (b *Bundle) HasMachine(name string) bool {
 	for _, t := range b.Targets {
 		if t.Name == name {
 			return true
@@ -83,18 +83,18 @@
 	return false
 }
 
-// Diff lists what leads from one bundle to another, sorted. Values are left
-// out: some are secret.
+// Diff lists the edits that turn one bundle into the other, sorted by kind and
+// name. It omits values because some are secret.
 func Diff(from, to *Bundle) ([]Edit, error) {
-	old, now := from.entries(), to.entries()
+	old, current := from.entries(), to.entries()
 	var out []Edit
-	for k, v := range now {
-		was, ok := old[k]
+	for k, v := range current {
+		previous, ok := old[k]
 		if !ok {
 			out = append(out, Edit{Op: OpAdd, Kind: k.kind, Name: k.name})
 			continue
 		}
-		fields, err := fieldDiff(was, v)
+		fields, err := fieldDiff(previous, v)
 		if err != nil {
 			return nil, err
 		}
@@ -103,7 +103,7 @@
 		}
 	}
 	for k := range old {
-		if _, ok := now[k]; !ok {
+		if _, ok := current[k]; !ok {
 			out = append(out, Edit{Op: OpRemove, Kind: k.kind, Name: k.name})
 		}
 	}
--- a/internal/config/generation.go
+++ b/internal/config/generation.go
@@ -20,64 +20,66 @@
 	headPrefix   = "config/past/"
 )
 
-// Buckets is how many parts a bundle is split into. One change touches one
-// part, so what an instance fetches for it is about 1/Buckets of the bundle.
-const Buckets = 64
+// BucketCount is the number of buckets a bundle is split into. Changing one
+// entry changes one bucket, so an instance fetches about 1/BucketCount of the
+// bundle to apply it.
+const BucketCount = 64
 
-// Head is what one conditional update of HeadKey puts in force.
+// Head describes one generation. It is stored under HeadKey and replaced by a
+// conditional update, which puts the generation in force.
 type Head struct {
 	Generation uint64            `json:"generation"`
-	Buckets    map[string]string `json:"buckets"` // bucket number -> SHA-256 of its bytes
+	Buckets    map[string]string `json:"buckets"` // bucket number to SHA-256 of its bytes
 	Drained    []string          `json:"drained,omitempty"`
 	Author     string            `json:"author"`
 	Message    string            `json:"message"`
 	Time       time.Time         `json:"time"`
 	Nonce      string            `json:"nonce"`
-	Parent     string            `json:"parent,omitempty"` // SHA-256 of the head before, kept below config/past/
+	Parent     string            `json:"parent,omitempty"` // SHA-256 of the previous head, stored under config/past/
 }
 
-// Parts are the encoded buckets of a bundle, by bucket number.
-type Parts map[string][]byte
+// EncodedBuckets maps bucket numbers to the JSON encoding of each bucket.
+type EncodedBuckets map[string][]byte
 
-// Split encodes a bundle into its buckets. The same bundle always gives the
-// same bytes, whatever order its files were read in.
-func Split(b *Bundle) (Parts, error) {
+// Split encodes a bundle into its buckets. Entries are sorted first, so equal
+// bundles give equal bytes regardless of the order their files were read in.
+func Split(b *Bundle) (EncodedBuckets, error) {
 	parts := map[string]*Bundle{}
-	at := func(kind, name string) *Bundle {
-		id := fmt.Sprintf("%02d", xxhash.Sum64String(kind+"/"+name)%Buckets)
+	bucketFor := func(kind, name string) *Bundle {
+		id := fmt.Sprintf("%02d", xxhash.Sum64String(kind+"/"+name)%BucketCount)
 		if parts[id] == nil {
 			parts[id] = &Bundle{}
 		}
 		return parts[id]
 	}
 	for _, c := range b.Customers {
-		p := at("customer", c.Name)
+		p := bucketFor("customer", c.Name)
 		p.Customers = append(p.Customers, c)
 	}
 	for _, m := range b.Models {
-		p := at("model", m.Name)
+		p := bucketFor("model", m.Name)
 		p.Models = append(p.Models, m)
 	}
 	for _, t := range b.Targets {
-		p := at("target", t.Name)
+		p := bucketFor("target", t.Name)
 		p.Targets = append(p.Targets, t)
 	}
 	for _, s := range b.Services {
-		p := at("service", s.Name)
+		p := bucketFor("service", s.Name)
 		p.Services = append(p.Services, s)
 	}
 	for _, s := range b.Stores {
-		p := at("store", s.Name)
+		p := bucketFor("store", s.Name)
 		p.Stores = append(p.Stores, s)
 	}
 	for _, o := range b.Operators {
-		p := at("operator", o.Name)
+		p := bucketFor("operator", o.Name)
 		p.Operators = append(p.Operators, o)
 	}
 	if b.Policy != nil {
-		at("policy", "policy").Policy = b.Policy
+		bucketFor("policy", "policy").Policy = b.Policy
 	}
-	out := Parts{}
+	out := EncodedBuckets{}
 	for id, p := range parts {
 		p.sort()
 		data, err := json.Marshal(p)
@@ -92,8 +94,8 @@
 	return out, nil
 }
 
-// Join is the inverse of Split.
-func Join(parts Parts) (*Bundle, error) {
+// Join decodes buckets into one sorted bundle. It is the inverse of Split.
+func Join(parts EncodedBuckets) (*Bundle, error) {
 	out := &Bundle{}
 	for _, id := range sortedKeys(parts) {
 		var p Bundle
@@ -123,7 +125,7 @@
 	sort.Slice(b.Operators, func(i, j int) bool { return b.Operators[i].Name < b.Operators[j].Name })
 }
 
-func sortedKeys(p Parts) []string {
+func sortedKeys(p EncodedBuckets) []string {
 	out := make([]string, 0, len(p))
 	for k := range p {
 		out = append(out, k)
@@ -132,7 +134,8 @@
 	return out
 }
 
-// Hash names bytes by content.
+// Hash returns the SHA-256 of data in hexadecimal. Buckets and past heads are
+// stored under it.
 func Hash(data []byte) string {
 	sum := sha256.Sum256(data)
 	return hex.EncodeToString(sum[:])
--- a/internal/config/history_test.go
+++ b/internal/config/history_test.go
@@ -14,59 +14,59 @@
 	standin "github.com/shedhoist/shedhoist/internal/standin/platform"
 )
 
-// headCall is one call on the head: an apply from a base, or a read.
+// headCall is an operation on the head: a change from a base generation, or a read.
 type headCall struct {
 	apply   bool
 	base    uint64
 	message string
 }
 
-// headAnswer is what it was told.
-type headAnswer struct {
-	accepted, raced, uncertain bool
-	generation                 uint64
-	message                    string
+// headResult is the result of a headCall.
+type headResult struct {
+	accepted, conflict, uncertain bool
+	generation                    uint64
+	message                       string
 }
 
-// headState is the head in the model.
+// headState is the state of headModel.
 type headState struct {
 	generation uint64
 	message    string
 }
 
-// headModel is a register that only takes what was made from its present
-// generation. An apply of unknown fate may have taken effect at any time: such
-// a run is left out of the history by the test.
+// headModel is a register that accepts a change only if it was made from the
+// current generation. It does not model changes of uncertain outcome, which may
+// take effect at any time: the test fails if there is one.
 var headModel = porcupine.Model{
 	Init: func() any { return headState{} },
 	Step: func(state, input, output any) (bool, any) {
-		s, in, a := state.(headState), input.(headCall), output.(headAnswer)
+		s, in, a := state.(headState), input.(headCall), output.(headResult)
 		switch {
 		case !in.apply:
 			return s == headState{a.generation, a.message}, s
 		case a.accepted:
 			return s.generation == in.base, headState{in.base + 1, in.message}
 		}
-		return s.generation != in.base, s // it lost to another
+		return s.generation != in.base, s // conflicts with an earlier change
 	},
 	Equal: func(a, b any) bool { return a.(headState) == b.(headState) },
 }
 
-// TestHistory: the answers that racing operators and readers get, while writes
-// and answers are lost, fit one order of accepted generations.
-func TestHistory(t *testing.T) {
+// TestLinearizableHistory checks that the results of concurrent changes and
+// reads are linearizable while writes and responses are lost.
+func TestLinearizableHistory(t *testing.T) {
 	is := is.New(t)
-	r, p := repo(t)
+	r, p := newRepo(t)
 	var mu sync.Mutex
 	var ops []porcupine.Operation
-	var clock atomic.Int64 // only the order counts
-	record := func(client int, in headCall, do func() headAnswer) {
+	var clock atomic.Int64 // logical time: only the order of events matters
+	record := func(client int, in headCall, do func() headResult) {
 		call := clock.Add(1)
 		out := do()
-		back := clock.Add(1)
+		returned := clock.Add(1)
 		mu.Lock()
 		defer mu.Unlock()
-		ops = append(ops, porcupine.Operation{ClientId: client, Input: in, Output: out, Call: call, Return: back})
+		ops = append(ops, porcupine.Operation{ClientId: client, Input: in, Output: out, Call: call, Return: returned})
 	}
 	var wg sync.WaitGroup
 	for client := range 4 {
@@ -78,33 +78,33 @@
 					p.SetFaults(standin.Faults{LoseWrites: i % 2, DropWrites: i % 3 / 2})
 				}
 				var base uint64
-				record(client, headCall{}, func() headAnswer {
+				record(client, headCall{}, func() headResult {
 					h, _, err := r.Head(t.Context())
 					if err != nil {
 						t.Error(err)
 					}
 					base = h.Generation
-					return headAnswer{generation: h.Generation, message: h.Message}
+					return headResult{generation: h.Generation, message: h.Message}
 				})
 				in := headCall{apply: true, base: base, message: fmt.Sprint(client, "/", i)}
-				record(client, in, func() headAnswer {
+				record(client, in, func() headResult {
 					_, err := r.Accept(t.Context(), config.Change{Base: base, Message: in.message})
-					var race *config.RaceError
+					var conflict *config.ConflictError
 					var uncertain *config.UncertainError
-					return headAnswer{accepted: err == nil, raced: errors.As(err, &race), uncertain: errors.As(err, &uncertain)}
+					return headResult{accepted: err == nil, conflict: errors.As(err, &conflict), uncertain: errors.As(err, &uncertain)}
 				})
 			}
 		}()
 	}
 	wg.Wait()
-	record(9, headCall{apply: true, message: "from long ago"}, func() headAnswer { // one that certainly loses
-		_, err := r.Accept(t.Context(), config.Change{Message: "from long ago"})
-		var race *config.RaceError
-		return headAnswer{raced: errors.As(err, &race)}
+	record(9, headCall{apply: true, message: "stale"}, func() headResult { // certain to conflict
+		_, err := r.Accept(t.Context(), config.Change{Message: "stale"})
+		var conflict *config.ConflictError
+		return headResult{conflict: errors.As(err, &conflict)}
 	})
 	accepted := 0
 	for _, op := range ops {
-		a := op.Output.(headAnswer)
+		a := op.Output.(headResult)
 		is.True(!a.uncertain)
 		if a.accepted {
 			accepted++
@@ -113,9 +113,9 @@
 	is.True(accepted > 0)
 	is.True(porcupine.CheckOperations(headModel, ops))
 
-	for i, op := range ops { // planted fault: one loser is told that he won
-		if op.Output.(headAnswer).raced {
-			ops[i].Output = headAnswer{accepted: true}
+	for i, op := range ops { // the model must reject a conflict that is reported as accepted
+		if op.Output.(headResult).conflict {
+			ops[i].Output = headResult{accepted: true}
 			break
 		}
 	}
--- a/internal/config/repo.go
+++ b/internal/config/repo.go
@@ -12,22 +12,23 @@
 	"github.com/shedhoist/shedhoist/internal/wait"
 )
 
-// Repo reads and writes generations in the platform.
+// Repo reads and writes configuration generations in the platform's object store.
 type Repo struct {
-	Store platform.Store
-	Now   func() time.Time
-	Pause time.Duration // between tries of a write without an answer; 0 means DefaultPause
+	Store      platform.Store
+	Now        func() time.Time
+	RetryDelay time.Duration // between attempts of a write that got no response; 0 means DefaultRetryDelay
 }
 
-func (r *Repo) pause(ctx context.Context) bool {
-	d := r.Pause
+func (r *Repo) waitRetry(ctx context.Context) bool {
+	d := r.RetryDelay
 	if d == 0 {
-		d = DefaultPause
+		d = DefaultRetryDelay
 	}
 	return wait.For(ctx, d)
 }
 
-// Head returns the head in force and its version; a zero head before the first apply.
+// Head returns the current head and its object version. Before the first
+// change is accepted, the head is zero.
 func (r *Repo) Head(ctx context.Context) (Head, platform.Version, error) {
 	o, err := r.Store.Get(ctx, HeadKey)
 	var missing *platform.NotFoundError
@@ -50,7 +51,7 @@
 	return h, nil
 }
 
-// Fetch returns the bucket with the given hash, checked.
+// Fetch returns the bucket with the given hash after verifying its content.
 func (r *Repo) Fetch(ctx context.Context, hash string) ([]byte, error) {
 	key := bucketPrefix + hash
 	o, err := r.Store.Get(ctx, key)
@@ -65,7 +66,7 @@
 
 // Bundle fetches and joins a head's buckets.
 func (r *Repo) Bundle(ctx context.Context, h Head) (*Bundle, error) {
-	parts := Parts{}
+	parts := EncodedBuckets{}
 	for id, hash := range h.Buckets {
 		data, err := r.Fetch(ctx, hash)
 		if err != nil {
@@ -76,31 +77,33 @@
 	return Join(parts)
 }
 
-// Change is one operator's wish: new buckets, or new drains, or both.
+// Change is a change that an operator submits: new buckets, a new list of
+// drained machines, or both.
 type Change struct {
-	Base    uint64 // generation it was made from
-	Parts   Parts  // nil: keep the buckets
-	Buckets map[string]string
-	Drained []string
-	Author  string
-	Message string
-}
-
-// Accept puts a change in force: buckets first, then the old head's copy, then
-// the head by conditional update. It returns the head that is now in force, or
-// a *RaceError, or an *UncertainError.
+	Base         uint64         // generation that the change was made from
+	NewBuckets   EncodedBuckets // buckets to store; nil if BucketHashes holds the buckets of the new head
+	BucketHashes map[string]string
+	Drained      []string
+	Author       string
+	Message      string
+}
+
+// Accept puts a change in force. It stores the buckets, then a copy of the old
+// head, and then replaces the head by a conditional update. It returns the new
+// head. The error is a *ConflictError if another change was accepted first, and
+// an *UncertainError if the outcome is unknown.
 func (r *Repo) Accept(ctx context.Context, c Change) (Head, error) {
 	old, version, err := r.Head(ctx)
 	if err != nil {
 		return Head{}, err
 	}
 	if old.Generation != c.Base {
-		return Head{}, &RaceError{Base: c.Base, Winner: old, Mine: c.Message}
+		return Head{}, &ConflictError{Base: c.Base, Winner: old, Message: c.Message}
 	}
-	next := Head{Generation: old.Generation + 1, Buckets: c.Buckets, Drained: c.Drained, Author: c.Author,
+	next := Head{Generation: old.Generation + 1, Buckets: c.BucketHashes, Drained: c.Drained, Author: c.Author,
 		Message: c.Message, Time: r.Now().UTC(), Nonce: uuid.NewString()}
-	if c.Parts != nil {
-		if next.Buckets, err = r.putParts(ctx, c.Parts, old.Buckets); err != nil {
+	if c.NewBuckets != nil {
+		if next.Buckets, err = r.putBuckets(ctx, c.NewBuckets, old.Buckets); err != nil {
 			return Head{}, err
 		}
 	}
@@ -109,63 +112,65 @@
 			return Head{}, err
 		}
 	}
-	return next, r.swap(ctx, next, version, c)
+	return next, r.updateHead(ctx, next, version, c)
 }
 
-// swap is the one step that puts a head in force. A put whose answer is lost,
-// or that conflicts, is settled by the nonce in the stored head or in one of
-// the heads that followed it. A put that left the head as it was is repeated:
-// of two copies under way one takes effect and the other meets the version
-// check.
-func (r *Repo) swap(ctx context.Context, next Head, version platform.Version, c Change) error {
+// updateHead replaces the head, which puts the new generation in force. After a
+// put whose response is lost or that conflicts, the nonces of the stored head
+// and its ancestors tell whether the put took effect. If the head is unchanged,
+// the put is repeated. This is safe: if two copies are in flight, one takes
+// effect and the version check rejects the other.
+func (r *Repo) updateHead(ctx context.Context, next Head, version platform.Version, c Change) error {
 	data, err := json.Marshal(next)
 	if err != nil {
 		return &EncodeError{Cause: err}
 	}
-	maybe := false // an earlier put may have taken effect
-	for range settleTries {
+	mayBeApplied := false // an earlier put may have taken effect
+	for range maxWriteAttempts {
 		_, err = r.Store.Put(ctx, HeadKey, data, version)
 		if err == nil {
 			return nil
 		}
-		var down *platform.UnavailableError
-		if errors.As(err, &down) {
-			if !down.OutcomeUnknown && !maybe {
+		var unavailable *platform.UnavailableError
+		if errors.As(err, &unavailable) {
+			if !unavailable.OutcomeUnknown && !mayBeApplied {
 				return err
 			}
-			maybe = true
+			mayBeApplied = true
 		}
-		now, v, headErr := r.Head(ctx)
+		head, v, headErr := r.Head(ctx)
 		if headErr == nil && v != version {
-			return r.verdict(ctx, now, next, c)
+			return r.resolveOutcome(ctx, head, next, c)
 		}
-		if !r.pause(ctx) {
+		if !r.waitRetry(ctx) {
 			break
 		}
 	}
 	return &UncertainError{Nonce: next.Nonce, Cause: err}
 }
 
-// verdict says whether next is in the history that ends in now.
-func (r *Repo) verdict(ctx context.Context, now, next Head, c Change) error {
-	found, err := r.accepted(ctx, now, next)
+// resolveOutcome returns nil if next is head or one of its ancestors, and a
+// *ConflictError if it is not.
+func (r *Repo) resolveOutcome(ctx context.Context, head, next Head, c Change) error {
+	found, err := r.inHistory(ctx, head, next)
 	if err != nil {
 		return &UncertainError{Nonce: next.Nonce, Cause: err}
 	}
 	if found {
 		return nil
 	}
-	return &RaceError{Base: c.Base, Winner: now, Mine: c.Message}
+	return &ConflictError{Base: c.Base, Winner: head, Message: c.Message}
 }
 
-// Bounds of a write without an answer.
+// Retries of a write that got no response.
 const (
-	settleTries  = 5
-	DefaultPause = 200 * time.Millisecond
+	maxWriteAttempts  = 5
+	DefaultRetryDelay = 200 * time.Millisecond
 )
 
-// accepted walks back from head h to the generation of next.
-func (r *Repo) accepted(ctx context.Context, h, next Head) (bool, error) {
+// inHistory walks back from h to the generation of next and reports whether
+// the head of that generation is next.
+func (r *Repo) inHistory(ctx context.Context, h, next Head) (bool, error) {
 	for h.Generation > next.Generation {
 		parent, err := r.parent(ctx, h)
 		if err != nil {
@@ -209,11 +214,12 @@
 		return "", &EncodeError{Cause: err}
 	}
 	hash := Hash(data)
-	return hash, r.putOnce(ctx, headPrefix+hash, data)
+	return hash, r.putContentAddressed(ctx, headPrefix+hash, data)
 }
 
-// putParts writes the buckets that the old head does not already name.
-func (r *Repo) putParts(ctx context.Context, parts Parts, old map[string]string) (map[string]string, error) {
+// putBuckets stores the buckets that the old head does not reference, and
+// returns the hashes of all buckets.
+func (r *Repo) putBuckets(ctx context.Context, parts EncodedBuckets, old map[string]string) (map[string]string, error) {
 	out := map[string]string{}
 	for _, id := range sortedKeys(parts) {
 		hash := Hash(parts[id])
@@ -221,24 +227,25 @@
 		if old[id] == hash {
 			continue
 		}
-		if err := r.putOnce(ctx, bucketPrefix+hash, parts[id]); err != nil {
+		if err := r.putContentAddressed(ctx, bucketPrefix+hash, parts[id]); err != nil {
 			return nil, err
 		}
 	}
 	return out, nil
 }
 
-// putOnce creates a content-named object. A lost answer needs no settling: to
-// write the same bytes again under the same name changes nothing.
-func (r *Repo) putOnce(ctx context.Context, key string, data []byte) error {
+// putContentAddressed creates an object whose key is derived from its content.
+// If the response is lost the write is simply repeated: writing the same bytes
+// under the same key changes nothing.
+func (r *Repo) putContentAddressed(ctx context.Context, key string, data []byte) error {
 	var err error
-	for range settleTries {
+	for range maxWriteAttempts {
 		_, err = r.Store.Put(ctx, key, data, 0)
 		var conflict *platform.ConflictError
 		if err == nil || errors.As(err, &conflict) {
 			return nil
 		}
-		if !r.pause(ctx) {
+		if !r.waitRetry(ctx) {
 			break
 		}
 	}
--- a/internal/config/seed_test.go
+++ b/internal/config/seed_test.go
@@ -2,7 +2,8 @@
 
 import "flag"
 
-// The properties are checked on the same draws each run.
+// init fixes the seed of the property tests, so that every run checks the same
+// inputs.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/internal/daemon/follow.go
+++ b/internal/daemon/follow.go
@@ -81,7 +81,7 @@
 func (d *Daemon) adopt(ctx context.Context, h config.Head, given map[string][]byte) error {
 	have := map[string][]byte{}
 	d.query(func(c *control) { have = c.parts })
-	parts, byHash := config.Parts{}, map[string][]byte{}
+	parts, byHash := config.EncodedBuckets{}, map[string][]byte{}
 	for id, hash := range h.Buckets {
 		data, ok := have[hash]
 		if !ok {
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -169,7 +169,7 @@
 	}
 	for i := range dec.NumCandidates {
 		if dec.Candidates[i].Target == dec.Target.Name {
-			return dec.Candidates[i].RecomputeTokens >= l.view.Policy.KeepTokens/2
+			return dec.Candidates[i].RecomputeTokens >= l.view.Policy.MinSaveTokens/2
 		}
 	}
 	return false
@@ -177,7 +177,7 @@
 
 func (l *Live) params() route.Params {
 	return route.Params{Policy: route.Policy(l.view.Policy.Router), HomeCandidates: l.view.Policy.Candidates, RecomputeWeightMS: l.view.Policy.RecomputeWeight,
-		PrefillMSPerToken: l.req.Model.PrefillUS / 1000, DecodeMSPerRequest: decodeMS}
+		PrefillMSPerToken: l.req.Model.PrefillUSPerToken / 1000, DecodeMSPerRequest: decodeMS}
 }
 
 // decodeMS is what one running request adds to another's first token, in ms.
@@ -190,7 +190,7 @@
 // shed refuses, at once and before anything is sent, a request whose first
 // token would come too late. It tells when the queue will have shrunk.
 func (l *Live) shed(att *explain.Attempt) error {
-	bound := l.req.Model.FirstTokenMS * (1 - priorityStep*float64(l.req.Customer.Priority))
+	bound := l.req.Model.MaxFirstTokenMS * (1 - priorityStep*float64(l.req.Customer.Priority))
 	if bound <= 0 || l.retries > 0 || l.sinceMS()+att.PredictedMS <= bound {
 		return nil
 	}
--- a/internal/dispatch/rest_send_test.go
+++ b/internal/dispatch/rest_send_test.go
@@ -22,7 +22,7 @@
 // callAny sends one request to a service of some targets.
 func (f *restingFleet) callAny(ctx context.Context, targets ...*restingTarget) error {
 	f.seq++
-	s := &config.Service{Name: "s", EchoesID: true, Routes: []config.Route{{Path: "/", Idempotent: true}}}
+	s := &config.Service{Name: "s", EchoesRequestID: true, Routes: []config.Route{{Path: "/", Idempotent: true}}}
 	for _, m := range targets {
 		s.Instances = append(s.Instances, config.ServiceInstance{Name: m.address(), Address: m.address(), Zone: "z"})
 	}
@@ -62,7 +62,7 @@
 
 // runLong sends one model run for whose prompt stores are asked.
 func (f *restingFleet) runLong(ctx context.Context) error {
-	l, err := f.d.Start(ctx, &dispatch.Request{ID: "long", Customer: &view.Customer{}, View: f.view, Model: &config.Model{Name: "m", Version: "v", DeadlineMS: 1 << 30, PrefillUS: 1000},
+	l, err := f.d.Start(ctx, &dispatch.Request{ID: "long", Customer: &view.Customer{}, View: f.view, Model: &config.Model{Name: "m", Version: "v", DeadlineMS: 1 << 30, PrefillUSPerToken: 1000},
 		Path: "/v1/completions", Canonical: strings.Repeat("x", 3*prefix.ChunkBytes), Arrived: f.d.Now(), Body: func(target.Extension) target.Body { return target.Body{"{}"} }})
 	if err == nil {
 		l.Close()
--- a/internal/dispatch/rest_test.go
+++ b/internal/dispatch/rest_test.go
@@ -104,7 +104,7 @@
 // call sends one request to a service.
 func (f *restingFleet) call(ctx context.Context) error {
 	f.seq++
-	s := &config.Service{Name: "s", EchoesID: true, Routes: []config.Route{{Path: "/", Idempotent: true}}}
+	s := &config.Service{Name: "s", EchoesRequestID: true, Routes: []config.Route{{Path: "/", Idempotent: true}}}
 	for i, m := range f.targets {
 		s.Instances = append(s.Instances, config.ServiceInstance{Name: fmt.Sprint("s", i), Address: m.address(), Zone: "z"})
 	}
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -304,7 +304,7 @@
 
 // worthKeeping says whether the prompt is long enough for a store.
 func (l *Live) worthKeeping() bool {
-	return len(l.keys) > 0 && !l.view.Policy.NoStores && len(l.keys)*prefix.ChunkBytes/prefix.BytesPerToken >= l.view.Policy.KeepTokens
+	return len(l.keys) > 0 && !l.view.Policy.NoStores && len(l.keys)*prefix.ChunkBytes/prefix.BytesPerToken >= l.view.Policy.MinSaveTokens
 }
 
 // newToStore says whether the store may lack part of the chain: something was
--- a/internal/dispatch/service.go
+++ b/internal/dispatch/service.go
@@ -106,7 +106,7 @@
 		}
 		retries++
 		answer, err := d.Targets.Do(ctx, target.Call{Target: inst.Name, Address: inst.Address, Method: req.Method, Path: req.Path,
-			Header: req.Header, Body: req.Body, ID: req.ID, EchoesID: req.Service.EchoesID, Idempotent: idempotent, MaxResponseBytes: d.Answer})
+			Header: req.Header, Body: req.Body, ID: req.ID, EchoesID: req.Service.EchoesRequestID, Idempotent: idempotent, MaxResponseBytes: d.Answer})
 		ev := attempt.Done
 		if err != nil {
 			ev, cause = eventOf(ctx, err), err
--- a/internal/e2e/overload_test.go
+++ b/internal/e2e/overload_test.go
@@ -20,7 +20,7 @@
 	is := is.New(t)
 	prompt := fleet.Rulebook("gate", 16<<10) // 4096 tokens: 4.1 s of prefill at 1 ms a token, as the model is declared
 	f := start(t, fleet.Options{Instances: 1, Engines: 1, Engine: engine.Options{PrefillUS: 10, TimeScale: 0.001}, Edit: func(b *config.Bundle) {
-		b.Models[0].PrefillUS, b.Models[0].FirstTokenMS = 1000, 5000
+		b.Models[0].PrefillUSPerToken, b.Models[0].MaxFirstTokenMS = 1000, 5000
 		b.Customers[0].Priority, b.Customers[1].Priority = 0, 9 // bounds of 5 and 2.75 s
 		b.Policy.NoStores = true
 	}})
--- a/internal/standin/fleet/bundle.go
+++ b/internal/standin/fleet/bundle.go
@@ -20,7 +20,7 @@
 	o := f.Options
 	b := &config.Bundle{
 		Models: []config.Model{{Name: Model, Version: Version, Versions: []string{Version}, Adapters: []config.Adapter{{Name: "evening"}},
-			PrefillUS: o.Engine.PrefillUS, KVBytes: o.Engine.KVBytes}},
+			PrefillUSPerToken: o.Engine.PrefillUS, KVBytesPerToken: o.Engine.KVBytes}},
 		Operators: []config.Operator{{Name: "stand-in", KeyHashes: []string{view.KeyHash(f.OperatorKey)}}},
 	}
 	policy := o.Policy
@@ -31,9 +31,9 @@
 	}
 	for i, addr := range f.EngineAddrs {
 		b.Targets = append(b.Targets, config.Target{Name: name("engine", i), Address: addr, Zone: f.zone(i), Model: Model,
-			Fenced: o.Engine.Fenced, Slots: o.Engine.Slots})
+			ChecksFencingToken: o.Engine.Fenced, Slots: o.Engine.Slots})
 	}
-	svc := config.Service{Name: Service, EchoesID: true, Routes: []config.Route{{Path: "/shifts", Methods: []string{"GET"}, Idempotent: true}}}
+	svc := config.Service{Name: Service, EchoesRequestID: true, Routes: []config.Route{{Path: "/shifts", Methods: []string{"GET"}, Idempotent: true}}}
 	for i, addr := range f.ServiceAddrs {
 		svc.Instances = append(svc.Instances, config.ServiceInstance{Name: name("service", i), Address: addr, Zone: f.zone(i)})
 	}
--- a/internal/standin/measure/bench.go
+++ b/internal/standin/measure/bench.go
@@ -133,8 +133,8 @@
 			LagMS: 100, EventLagMS: 200, TimeScale: o.Scale},
 		Store: store.Options{MemoryBytes: 20e9, DiskBytes: 400e9, MemoryRate: benchMemRate, DiskRate: benchDiskRate, TimeScale: o.Scale},
 		Edit: func(b *config.Bundle) {
-			b.Models[0].FirstTokenMS = o.FirstMS * o.Scale
-			b.Models[0].PrefillUS = benchPrefillUS * o.Scale // the daemon lives in real time
+			b.Models[0].MaxFirstTokenMS = o.FirstMS * o.Scale
+			b.Models[0].PrefillUSPerToken = benchPrefillUS * o.Scale // the daemon lives in real time
 			for i := range b.Stores {
 				b.Stores[i].MemoryMBps = int(benchMemRate / o.Scale / 1e6)
 				b.Stores[i].DiskMBps = int(benchDiskRate / o.Scale / 1e6)
--- a/internal/tool/change.go
+++ b/internal/tool/change.go
@@ -49,7 +49,7 @@
 	if f.message != "" {
 		msg += ": " + f.message
 	}
-	h, err := r.Accept(actx, config.Change{Base: now.Generation, Buckets: old.Buckets, Drained: now.Drained, Author: author(), Message: msg})
+	h, err := r.Accept(actx, config.Change{Base: now.Generation, BucketHashes: old.Buckets, Drained: now.Drained, Author: author(), Message: msg})
 	if err != nil {
 		return err
 	}
@@ -90,7 +90,7 @@
 	switch {
 	case !undo && was, undo && !was:
 		return &UsageError{Reason: fmt.Sprintf("%s: drained is already %v", name, was)}
-	case !undo && !instance && !b.Has(name):
+	case !undo && !instance && !b.HasMachine(name):
 		return &UsageError{Reason: "no target, store or service instance " + strconv.Quote(name) + " (use --instance for an entry instance)"}
 	}
 	drained, what := slices.Clone(now.Drained), "drain "
@@ -100,7 +100,7 @@
 		drained = append(drained, name)
 		slices.Sort(drained)
 	}
-	h, err := r.Accept(actx, config.Change{Base: now.Generation, Buckets: now.Buckets, Drained: drained, Author: author(), Message: what + name})
+	h, err := r.Accept(actx, config.Change{Base: now.Generation, BucketHashes: now.Buckets, Drained: drained, Author: author(), Message: what + name})
 	if err != nil {
 		return err
 	}
--- a/internal/tool/config.go
+++ b/internal/tool/config.go
@@ -161,7 +161,7 @@
 	if base, err = pastDrains(actx, r, base, old); err != nil {
 		return err
 	}
-	h, err := r.Accept(actx, config.Change{Base: base, Parts: parts, Drained: old.Drained, Author: author(), Message: f.message})
+	h, err := r.Accept(actx, config.Change{Base: base, NewBuckets: parts, Drained: old.Drained, Author: author(), Message: f.message})
 	if err != nil {
 		return o.explainRace(ctx, r, err, b)
 	}
@@ -199,7 +199,7 @@
 
 // explainRace adds what each side of a conflict changed.
 func (o *options) explainRace(ctx context.Context, r *config.Repo, err error, mine *config.Bundle) error {
-	var race *config.RaceError
+	var race *config.ConflictError
 	if !errors.As(err, &race) {
 		return err
 	}
--- a/internal/tool/tool.go
+++ b/internal/tool/tool.go
@@ -90,7 +90,7 @@
 	var (
 		invalid     tomlfile.Errors
 		usage       *UsageError
-		race        *config.RaceError
+		race        *config.ConflictError
 		unavailable *platform.UnavailableError
 		daemon      *DaemonError
 		uncertain   *config.UncertainError
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -76,11 +76,11 @@
 // withDefaults returns a copy of a model with default values for unset fields.
 func withDefaults(m *config.Model) *config.Model {
 	out := *m
-	if out.PrefillUS == 0 {
-		out.PrefillUS = config.DefaultPrefillUS
+	if out.PrefillUSPerToken == 0 {
+		out.PrefillUSPerToken = config.DefaultPrefillUSPerToken
 	}
-	if out.KVBytes == 0 {
-		out.KVBytes = config.DefaultKVBytes
+	if out.KVBytesPerToken == 0 {
+		out.KVBytesPerToken = config.DefaultKVBytesPerToken
 	}
 	if out.DeadlineMS == 0 {
 		out.DeadlineMS = config.DefaultDeadlineMS
