--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -21,7 +21,7 @@
 	if field != "" {
 		path += "." + field
 	}
-	return s.index.At(path, reason)
+	return s.index.ErrorAt(path, reason)
 }
 
 // loader collects the entries of all files into one bundle, with the
@@ -83,7 +83,7 @@
 	l.bundle.Operators = append(l.bundle.Operators, b.Operators...)
 	if b.Policy != nil {
 		if l.bundle.Policy != nil {
-			l.errs = append(l.errs, index.At("policy", "is declared twice"))
+			l.errs = append(l.errs, index.ErrorAt("policy", "is declared twice"))
 		}
 		l.bundle.Policy = b.Policy
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -84,7 +84,7 @@
 // failure leaves nothing open.
 func New(set *settings.Settings, logger log.Interface) (*Daemon, error) {
 	d := &Daemon{set: set, log: logger.WithField("instance", set.Name).WithField("zone", set.Zone), now: time.Now,
-		events: make(chan event, eventBacklog), controlDone: make(chan struct{}), hints: cache.NewHints(cache.DefaultHintKeys), whys: explain.NewLog(set.Limits.WhyRecords)}
+		events: make(chan event, eventBacklog), controlDone: make(chan struct{}), hints: cache.NewHints(cache.DefaultHintKeys), whys: explain.NewLog(set.Limits.ExplainRecords)}
 	d.ctx, d.stop = context.WithCancel(context.Background())
 	d.store = platform.NewClient(set.Platform.URL, set.Platform.Token, nil)
 	d.repo = &config.Repo{Store: d.store, Now: d.now}
@@ -93,7 +93,7 @@
 	d.admit = newAdmission(d.now)
 	d.dispatch = &dispatch.Dispatcher{Instance: set.Name, Zone: set.Zone, View: &d.view, Targets: d.engines,
 		Stores: kvstore.NewClient(settings.Duration(set.Timing.ConnectMS)), Hints: d.hints, Why: d.whys, Log: d.log, Now: d.now,
-		Ledger: keeper{d}, Stall: stallTimeout, Answer: int64(set.Limits.AnswerBytes)}
+		Ledger: keeper{d}, Stall: stallTimeout, Answer: int64(set.Limits.ResponseBytes)}
 	d.dispatch.Init(d.ctx)
 	d.callers = &caller.Edge{View: &d.view, Dispatch: d.dispatch, Admit: d.admit, Limits: set.Limits, Log: d.log, Now: d.now}
 	if err := d.listen(); err != nil {
@@ -174,7 +174,7 @@
 
 // Start begins to serve.
 func (d *Daemon) Start() {
-	advertise := d.set.Peers.Advertise
+	advertise := d.set.Peers.AdvertiseAddress
 	if advertise == "" {
 		advertise = d.PeerAddr()
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings holds one process's own settings: its addresses, its zone,
-// where the platform and the first peers are, TLS files, logs and limits. It
-// is read once, at start.
+// Package settings defines the settings file of one instance: its listeners and
+// zone, the addresses of the platform and of the seed peers, TLS files, logging
+// and limits. The file is read once, at start.
 package settings
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/shedhoist/shedhoist/internal/tomlfile"
 )
 
-// Settings is the daemon's settings file.
+// Settings is the content of the daemon's settings file.
 type Settings struct {
 	Name      string    `toml:"name" validate:"name"`
 	Zone      string    `toml:"zone" validate:"name"`
@@ -24,38 +24,40 @@
 	Timing    Timing    `toml:"timing"`
 }
 
-// Listen is where the process accepts connections; port 0 picks a free one.
+// Listen holds the listeners' addresses as host:port. Port 0 picks a free port.
 type Listen struct {
 	Callers   string `toml:"callers" validate:"listen"`
 	Operators string `toml:"operators" validate:"listen"`
 	Peers     string `toml:"peers" validate:"listen"`
 }
 
-// Platform is the object API's place and credential.
+// Platform holds the URL and the bearer token of the platform's object API.
 type Platform struct {
 	URL       string `toml:"url" validate:"url"`
 	TokenFile string `toml:"token_file"`
 	Token     string `toml:"token"`
 }
 
-// Peers says how instances find and trust one another.
+// Peers configures how instances discover and authenticate one another.
 type Peers struct {
 	Seeds []string `toml:"seeds" validate:"dive,address"`
-	// Secret is shared by all instances; it is needed when TLS is off.
+	// Secret is shared by all instances. It is required if peers do not use TLS.
 	Secret     string `toml:"secret"`
 	SecretFile string `toml:"secret_file"`
-	// Advertise is the address that peers are told, when it is not the one
-	// listened on.
-	Advertise string `toml:"advertise" validate:"omitempty,address"`
+	// AdvertiseAddress is the address announced to peers. If it is empty, the
+	// listener's address is announced.
+	AdvertiseAddress string `toml:"advertise" validate:"omitempty,address"`
 }
 
-// Operators are known to this process beside those of the configuration, so
-// that it can be asked for its state before it has one.
+// Operators lists operator keys that this instance accepts in addition to those
+// of the configuration, so that operators can query its state before it has
+// received a configuration.
 type Operators struct {
 	KeyHashes []string `toml:"key_sha256" validate:"dive,len=64,hexadecimal"`
 }
 
-// TLS names certificate files. A listener without a pair serves plain TCP.
+// TLS holds the paths of certificate and key files. A listener without them
+// serves plain TCP.
 type TLS struct {
 	CallerCert   string `toml:"caller_cert"`
 	CallerKey    string `toml:"caller_key"`
@@ -66,21 +68,22 @@
 	PeerCA       string `toml:"peer_ca"`
 }
 
-// Log says what is logged and how.
+// Log holds the log level and output format.
 type Log struct {
 	Level  string `toml:"level" validate:"oneof=debug info warn error"`
 	Format string `toml:"format" validate:"oneof=json text"`
 }
 
-// Limits bound what one caller's connection may ask of the process.
+// Limits holds the limits on one request or connection of a caller, and the
+// number of explain records kept.
 type Limits struct {
-	HeaderBytes   int `toml:"header_bytes" validate:"min=1024,max=1048576"`
-	BodyBytes     int `toml:"body_bytes" validate:"min=1024,max=67108864"`
-	AnswerBytes   int `toml:"answer_bytes" validate:"min=1024,max=67108864"`
-	HeaderSeconds int `toml:"header_seconds" validate:"min=1,max=600"`
-	BodySeconds   int `toml:"body_seconds" validate:"min=1,max=600"`
-	IdleSeconds   int `toml:"idle_seconds" validate:"min=1,max=3600"`
-	WhyRecords    int `toml:"why_records" validate:"min=1,max=1000000"`
+	HeaderBytes    int `toml:"header_bytes" validate:"min=1024,max=1048576"`
+	BodyBytes      int `toml:"body_bytes" validate:"min=1024,max=67108864"`
+	ResponseBytes  int `toml:"answer_bytes" validate:"min=1024,max=67108864"`
+	HeaderSeconds  int `toml:"header_seconds" validate:"min=1,max=600"`
+	BodySeconds    int `toml:"body_seconds" validate:"min=1,max=600"`
+	IdleSeconds    int `toml:"idle_seconds" validate:"min=1,max=3600"`
+	ExplainRecords int `toml:"why_records" validate:"min=1,max=1000000"`
 }
 
 // Timing holds periods in milliseconds.
@@ -93,22 +96,22 @@
 	ConnectMS     int `toml:"connect_ms" validate:"min=1,max=60000"`
 }
 
-// Duration turns a number of milliseconds into a time.Duration.
+// Duration converts milliseconds to a time.Duration.
 func Duration(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// Default returns the settings that hold where a file says nothing.
+// Default returns the values of settings that a file does not set.
 func Default() Settings {
 	return Settings{
 		Listen: Listen{Callers: "127.0.0.1:0", Operators: "127.0.0.1:0", Peers: "127.0.0.1:0"},
 		Log:    Log{Level: "info", Format: "json"},
-		Limits: Limits{HeaderBytes: 64 << 10, BodyBytes: 8 << 20, AnswerBytes: 16 << 20, HeaderSeconds: 5,
-			BodySeconds: 30, IdleSeconds: 120, WhyRecords: 4096},
+		Limits: Limits{HeaderBytes: 64 << 10, BodyBytes: 8 << 20, ResponseBytes: 16 << 20, HeaderSeconds: 5,
+			BodySeconds: 30, IdleSeconds: 120, ExplainRecords: 4096},
 		Timing: Timing{DrainNoticeMS: 5000, DrainMS: 120_000, ProbeMS: 250, HeartbeatMS: 500,
 			ConfigPollMS: 5000, ConnectMS: 1000},
 	}
 }
 
-// Load reads and checks a settings file. Errors are tomlfile.Errors.
+// Load reads and validates a settings file. Errors are of type tomlfile.Errors.
 func Load(file string) (*Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -117,7 +120,9 @@
 	return Parse(file, data)
 }
 
-// Parse decodes the contents of a settings file and reads the files it names.
+// Parse decodes and validates the content of a settings file. It reads the
+// secret files that the settings refer to and checks that the TLS files are
+// readable. File is used in errors only.
 func Parse(file string, data []byte) (*Settings, error) {
 	s := Default()
 	ix, err := tomlfile.Decode(file, data, &s)
@@ -127,9 +132,9 @@
 	var errs tomlfile.Errors
 	errs = append(errs, readSecret(ix, "platform.token_file", s.Platform.TokenFile, &s.Platform.Token)...)
 	errs = append(errs, readSecret(ix, "peers.secret_file", s.Peers.SecretFile, &s.Peers.Secret)...)
-	errs = append(errs, s.TLS.check(ix)...)
+	errs = append(errs, s.TLS.validate(ix)...)
 	if s.Peers.Secret == "" && s.TLS.PeerCert == "" {
-		errs = append(errs, ix.At("peers", "needs secret, secret_file, or the tls.peer_* files: peers must prove who they are"))
+		errs = append(errs, ix.ErrorAt("peers", "needs secret, secret_file or the tls.peer_* files to authenticate peers"))
 	}
 	if err := errs.Err(); err != nil {
 		return nil, err
@@ -137,41 +142,42 @@
 	return &s, nil
 }
 
-func readSecret(ix *tomlfile.Index, key, file string, into *string) tomlfile.Errors {
+func readSecret(ix *tomlfile.Index, key, file string, dst *string) tomlfile.Errors {
 	if file == "" {
 		return nil
 	}
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return tomlfile.Errors{ix.At(key, fileReason(err))}
+		return tomlfile.Errors{ix.ErrorAt(key, fileReason(err))}
 	}
-	*into = trimLine(string(data))
-	if *into == "" {
-		return tomlfile.Errors{ix.At(key, file+" is empty")}
+	*dst = trimNewlines(string(data))
+	if *dst == "" {
+		return tomlfile.Errors{ix.ErrorAt(key, file+" is empty")}
 	}
 	return nil
 }
 
-func trimLine(s string) string {
+func trimNewlines(s string) string {
 	for len(s) > 0 && (s[len(s)-1] == '\n' || s[len(s)-1] == '\r') {
 		s = s[:len(s)-1]
 	}
 	return s
 }
 
-// check wants whole pairs and files that can be read.
-func (t *TLS) check(ix *tomlfile.Index) tomlfile.Errors {
+// validate checks that certificates and keys are set in pairs, that peer_cert and
+// peer_ca are set together, and that all files are readable.
+func (t *TLS) validate(ix *tomlfile.Index) tomlfile.Errors {
 	var errs tomlfile.Errors
-	pair := func(certKey, cert, keyKey, key string) {
+	pair := func(certSetting, cert, keySetting, key string) {
 		if (cert == "") != (key == "") {
-			errs = append(errs, ix.At("tls", certKey+" and "+keyKey+" go together"))
+			errs = append(errs, ix.ErrorAt("tls", certSetting+" and "+keySetting+" go together"))
 		}
 	}
 	pair("caller_cert", t.CallerCert, "caller_key", t.CallerKey)
 	pair("operator_cert", t.OperatorCert, "operator_key", t.OperatorKey)
 	pair("peer_cert", t.PeerCert, "peer_key", t.PeerKey)
 	if (t.PeerCert == "") != (t.PeerCA == "") {
-		errs = append(errs, ix.At("tls", "peer_cert and peer_ca go together"))
+		errs = append(errs, ix.ErrorAt("tls", "peer_cert and peer_ca go together"))
 	}
 	files := [...]struct{ key, file string }{
 		{"caller_cert", t.CallerCert}, {"caller_key", t.CallerKey}, {"operator_cert", t.OperatorCert},
@@ -182,7 +188,7 @@
 			continue
 		}
 		if _, err := os.ReadFile(f.file); err != nil {
-			errs = append(errs, ix.At("tls."+f.key, fileReason(err)))
+			errs = append(errs, ix.ErrorAt("tls."+f.key, fileReason(err)))
 		}
 	}
 	return errs
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -6,8 +6,7 @@
 	"github.com/shedhoist/shedhoist/internal/settings"
 )
 
-// FuzzParse: whatever stands in a settings file, it ends in settings or in
-// problems.
+// FuzzParse checks that Parse returns either settings or an error for any input.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("name = \"a\"\nzone = \"z\"\n[platform]\nurl = \"http://x\"\n[peers]\nsecret = \"s\"\n"))
 	f.Add([]byte("[listen]\ncallers = \"127.0.0.1:0\"\n[listen]"))
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,6 +1,5 @@
-// Package tomlfile decodes TOML strictly and reports every problem with the
-// file and the line it stands on. It serves the daemon's settings and the
-// operators' configuration alike.
+// Package tomlfile decodes TOML strictly and reports every error with its file
+// and line. It is used for the daemon's settings and for the configuration.
 package tomlfile
 
 import (
@@ -17,11 +16,11 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Error is one problem in one file. Line is 1-based; 0 means the whole file.
+// Error is one error in a file. Line is 1-based; 0 means the whole file.
 type Error struct {
 	File   string
 	Line   int
-	Key    string // dotted key, empty when the problem has none
+	Key    string // dotted key path, empty if the error concerns no key
 	Reason string
 }
 
@@ -40,10 +39,10 @@
 	return b.String()
 }
 
-// Errors is every problem found, in the order met.
+// Errors lists all errors found, in the order of detection.
 type Errors []*Error
 
-// Error implements error, one problem a line.
+// Error implements error, with one error per line.
 func (es Errors) Error() string {
 	lines := make([]string, len(es))
 	for i, e := range es {
@@ -52,7 +51,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err returns nil for no problems, so that a typed nil never escapes.
+// Err returns es as an error, or nil if es is empty. A plain conversion of an
+// empty list would give a non-nil error.
 func (es Errors) Err() error {
 	if len(es) == 0 {
 		return nil
@@ -60,42 +60,44 @@
 	return es
 }
 
-// Index maps a key path such as "customer[0].limits.requests" to its line.
+// Index maps key paths such as "customer[0].limits.requests" to line numbers.
 type Index struct {
 	File  string
 	lines map[string]int
 }
 
-// Line returns the line of path, or of its nearest enclosing table.
+// Line returns the line of path or of its nearest enclosing table, and 0 if
+// there is neither.
 func (ix *Index) Line(path string) int {
 	for path != "" {
 		if n, ok := ix.lines[path]; ok {
 			return n
 		}
-		cut := strings.LastIndexAny(path, ".[")
-		if cut < 0 {
+		end := strings.LastIndexAny(path, ".[")
+		if end < 0 {
 			return 0
 		}
-		path = path[:cut]
+		path = path[:end]
 	}
 	return 0
 }
 
-// At builds the error for path.
-func (ix *Index) At(path, reason string) *Error {
+// ErrorAt returns an Error for the key path, with its file and line.
+func (ix *Index) ErrorAt(path, reason string) *Error {
 	return &Error{File: ix.File, Line: ix.Line(path), Key: path, Reason: reason}
 }
 
-// Decode parses data into v, which must be a pointer to a struct. Unknown keys
-// are errors. On success the field rules in `validate` tags are checked too.
+// Decode parses data into v, which must be a pointer to a struct, and checks the
+// rules in the fields' `validate` tags. Unknown keys are errors. Errors are of
+// type Errors.
 func Decode(file string, data []byte, v any) (*Index, error) {
 	dec := toml.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(v); err != nil {
 		return nil, decodeErrors(file, err)
 	}
-	ix := index(file, data)
-	if errs := check(ix, v); len(errs) > 0 {
+	ix := newIndex(file, data)
+	if errs := validate(ix, v); len(errs) > 0 {
 		return ix, errs
 	}
 	return ix, nil
@@ -112,17 +114,17 @@
 		}
 		return out
 	}
-	var bad *toml.DecodeError
-	if errors.As(err, &bad) {
-		line, _ := bad.Position()
-		reason := strings.TrimPrefix(bad.Error(), "toml: ")
-		return Errors{{File: file, Line: line, Key: strings.Join(bad.Key(), "."), Reason: reason}}
+	var decodeError *toml.DecodeError
+	if errors.As(err, &decodeError) {
+		line, _ := decodeError.Position()
+		reason := strings.TrimPrefix(decodeError.Error(), "toml: ")
+		return Errors{{File: file, Line: line, Key: strings.Join(decodeError.Key(), "."), Reason: reason}}
 	}
 	return Errors{{File: file, Reason: err.Error()}}
 }
 
-// index records the line of every table header and key.
-func index(file string, data []byte) *Index {
+// newIndex builds the index of all table headers and keys in data.
+func newIndex(file string, data []byte) *Index {
 	ix := &Index{File: file, lines: map[string]int{}}
 	counts := map[string]int{}
 	var p unstable.Parser
@@ -132,14 +134,14 @@
 		e := p.Expression()
 		switch e.Kind {
 		case unstable.ArrayTable:
-			base, line := resolve(&p, e, counts)
+			base, line := resolveHeader(&p, e, counts)
 			n := counts[base]
 			counts[base] = n + 1
 			table = base + "[" + strconv.Itoa(n) + "]"
 			ix.lines[table] = line
 		case unstable.Table:
 			var line int
-			table, line = resolve(&p, e, counts)
+			table, line = resolveHeader(&p, e, counts)
 			ix.lines[table] = line
 		case unstable.KeyValue:
 			key, line := joinKey(&p, e)
@@ -152,21 +154,22 @@
 	return ix
 }
 
-// resolve turns a header such as model.version into model[2].version, using
-// the last element of every array table above it.
-func resolve(p *unstable.Parser, e *unstable.Node, counts map[string]int) (string, int) {
+// resolveHeader converts a header such as model.version to a key path such as
+// model[2].version: every array table in it stands for its latest element. It
+// also returns the header's line.
+func resolveHeader(p *unstable.Parser, e *unstable.Node, counts map[string]int) (string, int) {
 	path, line := "", 0
-	it := e.Key()
-	for it.Next() {
+	keyParts := e.Key()
+	for keyParts.Next() {
 		if n := counts[path]; path != "" && n > 0 {
 			path += "[" + strconv.Itoa(n-1) + "]"
 		}
 		if path != "" {
 			path += "."
 		}
-		path += string(it.Node().Data)
+		path += string(keyParts.Node().Data)
 		if line == 0 {
-			line = p.Shape(it.Node().Raw).Start.Line
+			line = p.Shape(keyParts.Node().Raw).Start.Line
 		}
 	}
 	return path, line
@@ -175,19 +178,19 @@
 func joinKey(p *unstable.Parser, e *unstable.Node) (string, int) {
 	var parts []string
 	line := 0
-	it := e.Key()
-	for it.Next() {
-		parts = append(parts, string(it.Node().Data))
+	keyParts := e.Key()
+	for keyParts.Next() {
+		parts = append(parts, string(keyParts.Node().Data))
 		if line == 0 {
-			line = p.Shape(it.Node().Raw).Start.Line
+			line = p.Shape(keyParts.Node().Raw).Start.Line
 		}
 	}
 	return strings.Join(parts, "."), line
 }
 
-var rules = newRules()
+var fieldValidator = newFieldValidator()
 
-func newRules() *validator.Validate {
+func newFieldValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
 		name, _, _ := strings.Cut(f.Tag.Get("toml"), ",")
@@ -201,28 +204,28 @@
 
 func mustRegister(v *validator.Validate, tag string, fn validator.Func) {
 	if err := v.RegisterValidation(tag, fn); err != nil {
-		panic(err) // a rule name that the library refuses is a programming error
+		panic(err) // an invalid tag is a programming error
 	}
 }
 
-// isAddress accepts host:port with a port from least up.
-func isAddress(s string, least int) bool {
+// isAddress reports whether s is host:port with a port of at least minPort.
+func isAddress(s string, minPort int) bool {
 	host, port, err := net.SplitHostPort(s)
 	if err != nil || host == "" {
 		return false
 	}
 	n, err := strconv.Atoi(port)
-	return err == nil && n >= least && n <= 65535
+	return err == nil && n >= minPort && n <= 65535
 }
 
-// maxName bounds every operator-chosen name, in bytes.
-const maxName = 63
+// maxNameBytes is the maximum length of names in settings and configuration.
+const maxNameBytes = 63
 
-// isName accepts lower-case letters, digits, '-', '.' and '_': names become
-// parts of object keys, file names and metric labels.
+// isName accepts lower-case letters, digits, '-', '.' and '_', because names are
+// used in object keys, file names and metric labels.
 func isName(fl validator.FieldLevel) bool {
 	s := fl.Field().String()
-	if s == "" || len(s) > maxName {
+	if s == "" || len(s) > maxNameBytes {
 		return false
 	}
 	for _, r := range s {
@@ -234,8 +237,8 @@
 	return true
 }
 
-func check(ix *Index, v any) Errors {
-	err := rules.Struct(v)
+func validate(ix *Index, v any) Errors {
+	err := fieldValidator.Struct(v)
 	var fields validator.ValidationErrors
 	if !errors.As(err, &fields) {
 		return nil
@@ -243,17 +246,17 @@
 	var out Errors
 	for _, f := range fields {
 		_, path, _ := strings.Cut(f.Namespace(), ".")
-		out = append(out, ix.At(path, reason(f)))
+		out = append(out, ix.ErrorAt(path, violation(f)))
 	}
 	return out
 }
 
-func reason(f validator.FieldError) string {
+func violation(f validator.FieldError) string {
 	switch f.Tag() {
 	case "required":
 		return "is required"
 	case "name":
-		return fmt.Sprintf("%q is not a name (a-z, 0-9, '-', '.', '_'; 1 to %d characters)", f.Value(), maxName)
+		return fmt.Sprintf("%q is not a name (a-z, 0-9, '-', '.', '_'; 1 to %d characters)", f.Value(), maxNameBytes)
 	case "min", "gte":
 		return "must be at least " + f.Param()
 	case "max", "lte":
