--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -17,6 +17,7 @@
 	"github.com/apex/log"
 
 	"github.com/shedhoist/shedhoist/internal/caller"
+	"github.com/shedhoist/shedhoist/internal/certs"
 	"github.com/shedhoist/shedhoist/internal/config"
 	"github.com/shedhoist/shedhoist/internal/core/atmostonce"
 	"github.com/shedhoist/shedhoist/internal/core/cache"
@@ -26,7 +27,6 @@
 	"github.com/shedhoist/shedhoist/internal/dispatch"
 	"github.com/shedhoist/shedhoist/internal/drain"
 	"github.com/shedhoist/shedhoist/internal/explain"
-	"github.com/shedhoist/shedhoist/internal/keys"
 	"github.com/shedhoist/shedhoist/internal/kvstore"
 	"github.com/shedhoist/shedhoist/internal/ledger"
 	"github.com/shedhoist/shedhoist/internal/logline"
@@ -109,7 +109,7 @@
 	t := d.set.TLS
 	sec := peer.Security{Secret: []byte(d.set.Peers.Secret)}
 	if t.PeerCert != "" {
-		src, err := keys.Load(keys.Files{Cert: t.PeerCert, Key: t.PeerKey, CA: t.PeerCA}, d.now)
+		src, err := certs.Load(certs.Files{Cert: t.PeerCert, Key: t.PeerKey, CA: t.PeerCA}, d.now)
 		if err != nil {
 			return err
 		}
@@ -147,7 +147,7 @@
 	if err != nil || cert == "" {
 		return ln, err
 	}
-	src, err := keys.Load(keys.Files{Cert: cert, Key: key}, d.now)
+	src, err := certs.Load(certs.Files{Cert: cert, Key: key}, d.now)
 	if err != nil {
 		ln.Close()
 		return nil, err
--- a/internal/e2e/tls_test.go
+++ b/internal/e2e/tls_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/shedhoist/shedhoist/internal/keys"
+	"github.com/shedhoist/shedhoist/internal/certs"
 	"github.com/shedhoist/shedhoist/internal/peer"
 	"github.com/shedhoist/shedhoist/internal/settings"
 	"github.com/shedhoist/shedhoist/internal/standin/engine"
@@ -82,7 +82,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		src, err := keys.Load(keys.Files{Cert: cert, Key: key, CA: ca.File}, time.Now)
+		src, err := certs.Load(certs.Files{Cert: cert, Key: key, CA: ca.File}, time.Now)
 		if err != nil {
 			t.Fatal(err)
 		}
