--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -62,13 +62,13 @@
 
 // Load reads the files. It fails if they are not usable.
 func Load(files Files, now func() time.Time) (*Reloader, error) {
-	s := &Reloader{files: files, checkInterval: DefaultCheckInterval, now: now}
-	m, err := readFiles(files)
+	r := &Reloader{files: files, checkInterval: DefaultCheckInterval, now: now}
+	creds, err := readFiles(files)
 	if err != nil {
 		return nil, err
 	}
-	s.loaded, s.modTimes, s.lastCheck = m, s.readModTimes(), now()
-	return s, nil
+	r.loaded, r.modTimes, r.lastCheck = creds, r.readModTimes(), now()
+	return r, nil
 }
 
 func readFiles(f Files) (credentials, error) {
@@ -76,24 +76,24 @@
 	if err != nil {
 		return credentials{}, &Error{File: f.Cert, Reason: "not a usable certificate and key", Cause: err}
 	}
-	m := credentials{cert: &pair}
+	creds := credentials{cert: &pair}
 	if f.CA == "" {
-		return m, nil
+		return creds, nil
 	}
 	pem, err := os.ReadFile(f.CA)
 	if err != nil {
 		return credentials{}, &Error{File: f.CA, Reason: "not readable", Cause: err}
 	}
-	m.pool = x509.NewCertPool()
-	if !m.pool.AppendCertsFromPEM(pem) {
+	creds.pool = x509.NewCertPool()
+	if !creds.pool.AppendCertsFromPEM(pem) {
 		return credentials{}, &Error{File: f.CA, Reason: "contains no certificate"}
 	}
-	return m, nil
+	return creds, nil
 }
 
-func (s *Reloader) readModTimes() [3]time.Time {
+func (r *Reloader) readModTimes() [3]time.Time {
 	var out [3]time.Time
-	for i, f := range [...]string{s.files.Cert, s.files.Key, s.files.CA} {
+	for i, f := range [...]string{r.files.Cert, r.files.Key, r.files.CA} {
 		if st, err := os.Stat(f); err == nil {
 			out[i] = st.ModTime()
 		}
@@ -104,38 +104,38 @@
 // current returns the credentials and reloads them first if a file has changed.
 // If the new files are not usable, for instance because they are only partly
 // written, the previous credentials stay in use and the next check tries again.
-func (s *Reloader) current() credentials {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	now := s.now()
-	if now.Sub(s.lastCheck) < s.checkInterval {
-		return s.loaded
+func (r *Reloader) current() credentials {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.now()
+	if now.Sub(r.lastCheck) < r.checkInterval {
+		return r.loaded
 	}
-	s.lastCheck = now
-	modTimes := s.readModTimes()
-	if modTimes == s.modTimes {
-		return s.loaded
+	r.lastCheck = now
+	modTimes := r.readModTimes()
+	if modTimes == r.modTimes {
+		return r.loaded
 	}
-	m, err := readFiles(s.files)
-	s.reloadErr = err
+	creds, err := readFiles(r.files)
+	r.reloadErr = err
 	if err == nil {
-		s.loaded, s.modTimes = m, modTimes
+		r.loaded, r.modTimes = creds, modTimes
 	}
-	return s.loaded
+	return r.loaded
 }
 
 // Err returns the error of the last reload, or nil if it succeeded.
-func (s *Reloader) Err() error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.reloadErr
+func (r *Reloader) Err() error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.reloadErr
 }
 
 // Server returns a configuration for a listener. If Files has a CA, clients must
 // present a certificate that it issued.
-func (s *Reloader) Server() *tls.Config {
+func (r *Reloader) Server() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-		m := s.current()
+		m := r.current()
 		c := &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{*m.cert}, NextProtos: []string{"http/1.1"}}
 		if m.pool != nil {
 			c.ClientAuth, c.ClientCAs = tls.RequireAndVerifyClientCert, m.pool
@@ -147,10 +147,10 @@
 // Client returns a configuration for one outgoing connection. It verifies the
 // certificate chain but no host name, because peers are addressed by IP address
 // and all certificates are issued by the fleet's own CA.
-func (s *Reloader) Client() *tls.Config {
-	m := s.current()
-	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{*m.cert},
-		InsecureSkipVerify: true, VerifyConnection: func(cs tls.ConnectionState) error { return verifyChain(cs, m.pool) }}
+func (r *Reloader) Client() *tls.Config {
+	creds := r.current()
+	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{*creds.cert},
+		InsecureSkipVerify: true, VerifyConnection: func(cs tls.ConnectionState) error { return verifyChain(cs, creds.pool) }}
 }
 
 func verifyChain(cs tls.ConnectionState, pool *x509.CertPool) error {
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -114,22 +114,22 @@
 }
 
 func fieldDiff(a, b any) ([]string, error) {
-	x, err := rawFields(a)
+	before, err := rawFields(a)
 	if err != nil {
 		return nil, err
 	}
-	y, err := rawFields(b)
+	after, err := rawFields(b)
 	if err != nil {
 		return nil, err
 	}
 	var out []string
-	for name := range y {
-		if !bytes.Equal(x[name], y[name]) {
+	for name := range after {
+		if !bytes.Equal(before[name], after[name]) {
 			out = append(out, name)
 		}
 	}
-	for name := range x {
-		if _, ok := y[name]; !ok {
+	for name := range before {
+		if _, ok := after[name]; !ok {
 			out = append(out, name)
 		}
 	}
--- a/internal/config/generation.go
+++ b/internal/config/generation.go
@@ -29,8 +29,8 @@
 // conditional update, which puts the generation in force.
 type Head struct {
 	Generation uint64            `json:"generation"`
-	Buckets    map[string]string `json:"buckets"` // bucket number to SHA-256 of its bytes
-	Drained    []string          `json:"drained,omitempty"`
+	Buckets    map[string]string `json:"buckets"`           // bucket number to SHA-256 of its bytes
+	Drained    []string          `json:"drained,omitempty"` // names of drained machines
 	Author     string            `json:"author"`
 	Message    string            `json:"message"`
 	Time       time.Time         `json:"time"`
--- a/internal/config/history_test.go
+++ b/internal/config/history_test.go
@@ -56,7 +56,7 @@
 // reads are linearizable while writes and responses are lost.
 func TestLinearizableHistory(t *testing.T) {
 	is := is.New(t)
-	r, p := newRepo(t)
+	repo, p := newRepo(t)
 	var mu sync.Mutex
 	var ops []porcupine.Operation
 	var clock atomic.Int64 // logical time: only the order of events matters
@@ -79,7 +79,7 @@
 				}
 				var base uint64
 				record(client, headCall{}, func() headResult {
-					h, _, err := r.Head(t.Context())
+					h, _, err := repo.Head(t.Context())
 					if err != nil {
 						t.Error(err)
 					}
@@ -88,7 +88,7 @@
 				})
 				in := headCall{apply: true, base: base, message: fmt.Sprint(client, "/", i)}
 				record(client, in, func() headResult {
-					_, err := r.Accept(t.Context(), config.Change{Base: base, Message: in.message})
+					_, err := repo.Accept(t.Context(), config.Change{Base: base, Message: in.message})
 					var conflict *config.ConflictError
 					var uncertain *config.UncertainError
 					return headResult{accepted: err == nil, conflict: errors.As(err, &conflict), uncertain: errors.As(err, &uncertain)}
@@ -98,7 +98,7 @@
 	}
 	wg.Wait()
 	record(9, headCall{apply: true, message: "stale"}, func() headResult { // certain to conflict
-		_, err := r.Accept(t.Context(), config.Change{Message: "stale"})
+		_, err := repo.Accept(t.Context(), config.Change{Message: "stale"})
 		var conflict *config.ConflictError
 		return headResult{conflict: errors.As(err, &conflict)}
 	})
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -16,12 +16,12 @@
 	path  string
 }
 
-func (s declaration) errorAt(field, reason string) *tomlfile.Error {
-	path := s.path
+func (d declaration) errorAt(field, reason string) *tomlfile.Error {
+	path := d.path
 	if field != "" {
 		path += "." + field
 	}
-	return s.index.ErrorAt(path, reason)
+	return d.index.ErrorAt(path, reason)
 }
 
 // loader collects the entries of all files into one bundle, with the
--- a/internal/config/repo.go
+++ b/internal/config/repo.go
@@ -80,10 +80,10 @@
 // Change is a change that an operator submits: new buckets, a new list of
 // drained machines, or both.
 type Change struct {
-	Base         uint64         // generation that the change was made from
-	NewBuckets   EncodedBuckets // buckets to store; nil if BucketHashes holds the buckets of the new head
-	BucketHashes map[string]string
-	Drained      []string
+	Base         uint64            // generation that the change was made from
+	NewBuckets   EncodedBuckets    // buckets to store; nil to use BucketHashes
+	BucketHashes map[string]string // as Head.Buckets; ignored unless NewBuckets is nil
+	Drained      []string          // names of drained machines
 	Author       string
 	Message      string
 }
