--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -17,6 +17,7 @@
 	"github.com/apex/log"
 
 	"github.com/shedhoist/shedhoist/internal/caller"
+	"github.com/shedhoist/shedhoist/internal/certs"
 	"github.com/shedhoist/shedhoist/internal/config"
 	"github.com/shedhoist/shedhoist/internal/core/atmostonce"
 	"github.com/shedhoist/shedhoist/internal/core/cache"
@@ -26,7 +27,6 @@
 	"github.com/shedhoist/shedhoist/internal/dispatch"
 	"github.com/shedhoist/shedhoist/internal/drain"
 	"github.com/shedhoist/shedhoist/internal/explain"
-	"github.com/shedhoist/shedhoist/internal/keys"
 	"github.com/shedhoist/shedhoist/internal/kvstore"
 	"github.com/shedhoist/shedhoist/internal/ledger"
 	"github.com/shedhoist/shedhoist/internal/logline"
@@ -84,7 +84,7 @@
 // failure leaves nothing open.
 func New(set *settings.Settings, logger log.Interface) (*Daemon, error) {
 	d := &Daemon{set: set, log: logger.WithField("instance", set.Name).WithField("zone", set.Zone), now: time.Now,
-		events: make(chan event, eventBacklog), controlDone: make(chan struct{}), hints: cache.NewHints(cache.DefaultHintKeys), whys: explain.NewLog(set.Limits.WhyRecords)}
+		events: make(chan event, eventBacklog), controlDone: make(chan struct{}), hints: cache.NewHints(cache.DefaultHintKeys), whys: explain.NewLog(set.Limits.ExplainRecords)}
 	d.ctx, d.stop = context.WithCancel(context.Background())
 	d.store = platform.NewClient(set.Platform.URL, set.Platform.Token, nil)
 	d.repo = &config.Repo{Store: d.store, Now: d.now}
@@ -93,7 +93,7 @@
 	d.admit = newAdmission(d.now)
 	d.dispatch = &dispatch.Dispatcher{Instance: set.Name, Zone: set.Zone, View: &d.view, Targets: d.engines,
 		Stores: kvstore.NewClient(settings.Duration(set.Timing.ConnectMS)), Hints: d.hints, Explain: d.whys, Log: d.log, Now: d.now,
-		Ledger: keeper{d}, StreamIdleTimeout: stallTimeout, MaxResponseBytes: int64(set.Limits.AnswerBytes)}
+		Ledger: keeper{d}, StreamIdleTimeout: stallTimeout, MaxResponseBytes: int64(set.Limits.ResponseBytes)}
 	d.dispatch.Init(d.ctx)
 	d.callers = &caller.Edge{View: &d.view, Dispatch: d.dispatch, Admit: d.admit, Limits: set.Limits, Log: d.log, Now: d.now}
 	if err := d.listen(); err != nil {
@@ -109,7 +109,7 @@
 	t := d.set.TLS
 	sec := peer.Security{Secret: []byte(d.set.Peers.Secret)}
 	if t.PeerCert != "" {
-		src, err := keys.Load(keys.Files{Cert: t.PeerCert, Key: t.PeerKey, CA: t.PeerCA}, d.now)
+		src, err := certs.Load(certs.Files{Cert: t.PeerCert, Key: t.PeerKey, CA: t.PeerCA}, d.now)
 		if err != nil {
 			return err
 		}
@@ -147,7 +147,7 @@
 	if err != nil || cert == "" {
 		return ln, err
 	}
-	src, err := keys.Load(keys.Files{Cert: cert, Key: key}, d.now)
+	src, err := certs.Load(certs.Files{Cert: cert, Key: key}, d.now)
 	if err != nil {
 		ln.Close()
 		return nil, err
@@ -174,7 +174,7 @@
 
 // Start begins to serve.
 func (d *Daemon) Start() {
-	advertise := d.set.Peers.Advertise
+	advertise := d.set.Peers.AdvertiseAddress
 	if advertise == "" {
 		advertise = d.PeerAddr()
 	}
--- a/internal/dispatch/backoff_during_wait_test.go
+++ b/internal/dispatch/backoff_during_wait_test.go
@@ -22,7 +22,7 @@
 // callTargets sends one request to a service that the given targets serve.
 func (f *fakeFleet) callTargets(ctx context.Context, targets ...*fakeTarget) error {
 	f.seq++
-	s := &config.Service{Name: "s", EchoesID: true, Routes: []config.Route{{Path: "/", Idempotent: true}}}
+	s := &config.Service{Name: "s", EchoesRequestID: true, Routes: []config.Route{{Path: "/", Idempotent: true}}}
 	for _, srv := range targets {
 		s.Instances = append(s.Instances, config.ServiceInstance{Name: srv.address(), Address: srv.address(), Zone: "z"})
 	}
@@ -65,7 +65,7 @@
 // runLongPrompt sends one model run whose prompt is long enough for a lookup at the
 // stores.
 func (f *fakeFleet) runLongPrompt(ctx context.Context) error {
-	run, err := f.d.Start(ctx, &dispatch.Request{ID: "long", Customer: &view.Customer{}, View: f.view, Model: &config.Model{Name: "m", Version: "v", DeadlineMS: 1 << 30, PrefillUS: 1000},
+	run, err := f.d.Start(ctx, &dispatch.Request{ID: "long", Customer: &view.Customer{}, View: f.view, Model: &config.Model{Name: "m", Version: "v", DeadlineMS: 1 << 30, PrefillUSPerToken: 1000},
 		Path: "/v1/completions", Canonical: strings.Repeat("x", 3*prefix.ChunkBytes), Arrived: f.d.Now(), Body: func(target.Extension) target.Body { return target.Body{"{}"} }})
 	if err == nil {
 		run.Close()
--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -105,7 +105,7 @@
 // call sends one request to a service that all targets of the fleet serve.
 func (f *fakeFleet) call(ctx context.Context) error {
 	f.seq++
-	s := &config.Service{Name: "s", EchoesID: true, Routes: []config.Route{{Path: "/", Idempotent: true}}}
+	s := &config.Service{Name: "s", EchoesRequestID: true, Routes: []config.Route{{Path: "/", Idempotent: true}}}
 	for i, srv := range f.targets {
 		s.Instances = append(s.Instances, config.ServiceInstance{Name: fmt.Sprint("s", i), Address: srv.address(), Zone: "z"})
 	}
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -172,7 +172,7 @@
 	}
 	for i := range dec.NumCandidates {
 		if dec.Candidates[i].Target == dec.Target.Name {
-			return dec.Candidates[i].RecomputeTokens >= r.view.Policy.KeepTokens/2
+			return dec.Candidates[i].RecomputeTokens >= r.view.Policy.MinSaveTokens/2
 		}
 	}
 	return false
@@ -180,7 +180,7 @@
 
 func (r *Run) routeParams() route.Params {
 	return route.Params{Policy: route.Policy(r.view.Policy.Router), HomeCandidates: r.view.Policy.Candidates, RecomputeWeightMS: r.view.Policy.RecomputeWeight,
-		PrefillMSPerToken: r.req.Model.PrefillUS / 1000, DecodeMSPerRequest: decodeMSPerRequest}
+		PrefillMSPerToken: r.req.Model.PrefillUSPerToken / 1000, DecodeMSPerRequest: decodeMSPerRequest}
 }
 
 // decodeMSPerRequest is the delay that each running request adds to another request's
@@ -194,7 +194,7 @@
 // shedIfLate refuses a request whose first token is predicted to exceed the model's
 // bound, before anything is sent. The Retry-After is the excess over the bound.
 func (r *Run) shedIfLate(att *explain.Attempt) error {
-	maxFirstTokenMS := r.req.Model.FirstTokenMS * (1 - priorityBoundShare*float64(r.req.Customer.Priority))
+	maxFirstTokenMS := r.req.Model.MaxFirstTokenMS * (1 - priorityBoundShare*float64(r.req.Customer.Priority))
 	if maxFirstTokenMS <= 0 || r.retries > 0 || r.elapsedMS()+att.PredictedMS <= maxFirstTokenMS {
 		return nil
 	}
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -309,7 +309,7 @@
 
 // shouldSave reports whether the prompt is long enough to be saved in a store.
 func (r *Run) shouldSave() bool {
-	return len(r.keys) > 0 && !r.view.Policy.NoStores && len(r.keys)*prefix.ChunkBytes/prefix.BytesPerToken >= r.view.Policy.KeepTokens
+	return len(r.keys) > 0 && !r.view.Policy.NoStores && len(r.keys)*prefix.ChunkBytes/prefix.BytesPerToken >= r.view.Policy.MinSaveTokens
 }
 
 // storeMayLackChunks reports whether a store may lack part of the chain, because part of
--- a/internal/dispatch/service.go
+++ b/internal/dispatch/service.go
@@ -108,7 +108,7 @@
 		}
 		retries++
 		resp, err := d.Targets.Do(ctx, target.Call{Target: inst.Name, Address: inst.Address, Method: req.Method, Path: req.Path,
-			Header: req.Header, Body: req.Body, ID: req.ID, EchoesID: req.Service.EchoesID, Idempotent: idempotent, MaxResponseBytes: d.MaxResponseBytes})
+			Header: req.Header, Body: req.Body, ID: req.ID, EchoesID: req.Service.EchoesRequestID, Idempotent: idempotent, MaxResponseBytes: d.MaxResponseBytes})
 		ev := attempt.Done
 		if err != nil {
 			ev, cause = attemptEvent(ctx, err), err
