--- a/internal/daemon/admit.go
+++ b/internal/daemon/admission.go
@@ -11,7 +11,7 @@
 	"github.com/shedhoist/shedhoist/internal/view"
 )
 
-// admission holds customers to their limits on this instance.
+// admission enforces the customers' limits on this instance.
 type admission struct {
 	mu        sync.Mutex
 	now       func() time.Time
@@ -23,7 +23,8 @@
 	return &admission{now: now, customers: map[string]*limit.Customer{}, shares: limit.NewShares()}
 }
 
-// Admit implements caller.Admission.
+// Admit implements caller.Admission. The function that it returns charges the
+// tokens generated and ends the request; only its first call counts.
 func (a *admission) Admit(c *view.Customer, promptTokens, instances int) (func(int), error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -43,28 +44,29 @@
 		return nil, p
 	}
 	var once sync.Once
-	return func(generated int) {
+	return func(generatedTokens int) {
 		once.Do(func() {
 			a.mu.Lock()
 			defer a.mu.Unlock()
-			state.ChargeGenerated(generated)
+			state.ChargeGenerated(generatedTokens)
 			state.Release()
 		})
 	}, nil
 }
 
-// Demands are the customers who ask most here, for peers.
-func (a *admission) Demands() []limit.Demand {
+// TopDemands returns the customers with the highest demand on this instance, to
+// be sent to peers.
+func (a *admission) TopDemands() []limit.Demand {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.shares.TopDemands(maxDemands, a.now())
 }
 
-// maxDemands bounds the demands on one message.
+// maxDemands is the largest number of demands in one message.
 const maxDemands = 6
 
-// Told takes a peer's demands.
-func (a *admission) Told(instance string, demands []limit.Demand) {
+// SetPeerDemands records a peer's demands. A list longer than maxDemands is ignored.
+func (a *admission) SetPeerDemands(instance string, demands []limit.Demand) {
 	if len(demands) > maxDemands {
 		return
 	}
@@ -73,8 +75,8 @@
 	a.shares.SetPeerDemands(instance, demands, a.now())
 }
 
-// Running returns the requests in hand by customer.
-func (a *admission) Running() map[string]int {
+// InFlight returns the number of in-flight requests by customer.
+func (a *admission) InFlight() map[string]int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	out := map[string]int{}
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -11,37 +11,39 @@
 	"github.com/shedhoist/shedhoist/internal/view"
 )
 
-// control is the mutable control state. Only the control goroutine touches it;
-// all others send events and read the published view.
+// control is the mutable control state. Only the control goroutine accesses it;
+// other goroutines send events and read the published view.
 type control struct {
 	cfg      *view.Config
-	parts    map[string][]byte // buckets in force, by hash
+	buckets  map[string][]byte // contents of the configuration buckets in force, by hash
 	targets  *observe.Tracker
 	members  *member.Machine
-	draining bool            // by a signal
-	snapshot *route.Snapshot // the last one published
-	settled  bool            // stays true: a target added later makes no instance unready
-	now      func() time.Time
+	draining bool            // set by Shutdown
+	snapshot *route.Snapshot // last one published
+	// allProbed is true from the first time that every target was probed. It stays
+	// true, so that a target added later does not make the instance unready.
+	allProbed bool
+	now       func() time.Time
 }
 
-// event is one change of control state. Apply runs on the control goroutine.
+// event is a change of the control state. apply runs on the control goroutine.
 type event interface{ apply(*control) }
 
-// configAccepted brings a whole, checked generation.
+// configAccepted carries a complete and verified generation of the configuration.
 type configAccepted struct {
-	cfg   *view.Config
-	parts map[string][]byte
+	cfg     *view.Config
+	buckets map[string][]byte
 }
 
 func (e configAccepted) apply(c *control) {
 	if c.cfg != nil && e.cfg.Head.Generation <= c.cfg.Head.Generation {
-		return // a generation never goes down
+		return // generations only increase
 	}
-	c.cfg, c.parts = e.cfg, e.parts
-	c.targets.SetTargets(specs(e.cfg))
+	c.cfg, c.buckets = e.cfg, e.buckets
+	c.targets.SetTargets(targetSpecs(e.cfg))
 }
 
-func specs(cfg *view.Config) []observe.Spec {
+func targetSpecs(cfg *view.Config) []observe.Spec {
 	out := make([]observe.Spec, 0, len(cfg.Bundle.Targets))
 	for _, t := range cfg.Bundle.Targets {
 		slots := t.Slots
@@ -53,41 +55,42 @@
 	return out
 }
 
-// targetHeard brings a target's report.
-type targetHeard struct {
+// targetReported carries a target's report.
+type targetReported struct {
 	name   string
 	report observe.Report
 }
 
-func (e targetHeard) apply(c *control) { c.targets.RecordReport(e.name, e.report, c.now()) }
+func (e targetReported) apply(c *control) { c.targets.RecordReport(e.name, e.report, c.now()) }
 
-// targetFailed brings a probe that had no answer.
-type targetFailed struct{ name string }
+// targetProbeFailed reports a probe of a target that got no response.
+type targetProbeFailed struct{ name string }
 
-func (e targetFailed) apply(c *control) { c.targets.RecordFailure(e.name, c.now()) }
+func (e targetProbeFailed) apply(c *control) { c.targets.RecordFailure(e.name, c.now()) }
 
-// machinesListed brings the lagging list.
+// machinesListed carries the names of leaving machines from the platform's list,
+// which may lag behind.
 type machinesListed struct{ leaving map[string]bool }
 
 func (e machinesListed) apply(c *control) { c.targets.SetLeaving(e.leaving) }
 
-// ask runs a function on the control goroutine and waits for it.
-type ask struct {
+// queryEvent runs f on the control goroutine and then closes done.
+type queryEvent struct {
 	f    func(*control)
 	done chan struct{}
 }
 
-func (e ask) apply(c *control) {
+func (e queryEvent) apply(c *control) {
 	e.f(c)
 	close(e.done)
 }
 
-// view builds the picture that request goroutines read.
-func (c *control) view(self string) *view.View {
+// buildView builds the immutable view that request goroutines read.
+func (c *control) buildView(self string) *view.View {
 	out := &view.View{Config: c.cfg, Targets: route.NewSnapshot(c.targets.Targets(c.now()), c.snapshot), Draining: c.draining}
 	c.snapshot = out.Targets
-	c.settled = c.settled || (c.cfg != nil && c.targets.AllObserved())
-	out.TargetsProbed = c.settled
+	c.allProbed = c.allProbed || (c.cfg != nil && c.targets.AllObserved())
+	out.TargetsProbed = c.allProbed
 	if c.cfg != nil && c.cfg.Drained[self] {
 		out.Draining = true
 	}
@@ -104,14 +107,14 @@
 	return out
 }
 
-// publishEvery bounds how often a view is built: targets' reports come often,
-// and each view costs a pass over all targets.
-const publishEvery = 100 * time.Millisecond
+// publishInterval limits how often a view is built: targets report often, and each
+// view costs a pass over all targets. A new configuration is published at once.
+const publishInterval = 100 * time.Millisecond
 
-// run is the control goroutine.
+// run is the loop of the control goroutine.
 func (d *Daemon) run(ctx context.Context, c *control) {
 	defer close(d.controlDone)
-	tick := time.NewTicker(publishEvery)
+	tick := time.NewTicker(publishInterval)
 	defer tick.Stop()
 	dirty := true
 	for {
@@ -122,20 +125,20 @@
 			e.apply(c)
 			dirty = true
 			if _, now := e.(configAccepted); now {
-				d.view.Store(c.view(d.set.Name))
+				d.view.Store(c.buildView(d.set.Name))
 				dirty = false
 			}
 		case <-tick.C:
 			d.probePeers(c)
 			if dirty || c.members.TakeChanged() {
-				d.view.Store(c.view(d.set.Name))
+				d.view.Store(c.buildView(d.set.Name))
 				dirty = false
 			}
 		}
 	}
 }
 
-// send hands an event to the control goroutine; it gives up when the process ends.
+// send queues an event for the control goroutine, or drops it when ctx ends.
 func (d *Daemon) send(ctx context.Context, e event) {
 	select {
 	case d.events <- e:
@@ -143,10 +146,10 @@
 	}
 }
 
-// query runs f on the control goroutine and returns when f has run, or when
-// that goroutine has ended and f never will.
+// query runs f on the control goroutine and waits for it. If that goroutine has
+// ended, query returns without running f.
 func (d *Daemon) query(f func(*control)) {
-	a := ask{f: f, done: make(chan struct{})}
+	a := queryEvent{f: f, done: make(chan struct{})}
 	select {
 	case d.events <- a:
 	case <-d.controlDone:
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,6 +1,7 @@
-// Package daemon wires the edges and the core together in one process, one
-// per entry instance, all alike. One control goroutine owns the control state;
-// request goroutines read the view that it publishes.
+// Package daemon connects the caller, operator and peer listeners with the core
+// logic in one process per entry instance; all instances are equal. One control
+// goroutine owns the control state; request goroutines read the view that it
+// publishes.
 package daemon
 
 import (
@@ -54,48 +55,48 @@
 	controlDone chan struct{}
 	done        sync.WaitGroup
 
-	view     view.Holder
-	hints    *cache.Hints
-	whys     *explain.Log
-	engines  *target.Client
-	dispatch *dispatch.Dispatcher
-	callers  *caller.Edge
-	admit    *admission
-	ledger   *ledger.Ledger
-	pool     *peer.Pool
-	peers    *peer.Server
+	view       view.Holder
+	hints      *cache.Hints
+	explainLog *explain.Log
+	engines    *target.Client
+	dispatch   *dispatch.Dispatcher
+	callers    *caller.Edge
+	admission  *admission
+	ledger     *ledger.Ledger
+	pool       *peer.Pool
+	peers      *peer.Server
 
-	pulling    atomic.Bool
-	platformOK atomic.Bool
-	observing  atomic.Int64 // targets that this instance probes
+	fetchingConfig atomic.Bool
+	platformOK     atomic.Bool
+	observedCount  atomic.Int64 // number of targets that this instance probes
 
 	callerLn, operatorLn, peerLn net.Listener
 	callerSrv, operatorSrv       *http.Server
 	callerConns                  drain.Conns
 }
 
-// stallTimeout is the longest silence within a run's stream.
-const stallTimeout = 10 * time.Second
+// streamIdleTimeout is the longest pause between two pieces of a response stream.
+const streamIdleTimeout = 10 * time.Second
 
-// eventBacklog is how many control events may wait.
-const eventBacklog = 1024
+// eventQueueSize is the capacity of the queue of control events.
+const eventQueueSize = 1024
 
-// New listens on all addresses of the settings, and starts nothing else. A
-// failure leaves nothing open.
+// New opens the listeners on all addresses of the settings but does not serve yet.
+// If it fails, all listeners are closed.
 func New(set *settings.Settings, logger log.Interface) (*Daemon, error) {
 	d := &Daemon{set: set, log: logger.WithField("instance", set.Name).WithField("zone", set.Zone), now: time.Now,
-		events: make(chan event, eventBacklog), controlDone: make(chan struct{}), hints: cache.NewHints(cache.DefaultHintKeys), whys: explain.NewLog(set.Limits.WhyRecords)}
+		events: make(chan event, eventQueueSize), controlDone: make(chan struct{}), hints: cache.NewHints(cache.DefaultHintKeys), explainLog: explain.NewLog(set.Limits.WhyRecords)}
 	d.ctx, d.stop = context.WithCancel(context.Background())
 	d.store = platform.NewClient(set.Platform.URL, set.Platform.Token, nil)
 	d.repo = &config.Repo{Store: d.store, Now: d.now}
 	d.ledger = ledger.New(d.ctx, d.store, atmostonce.DefaultParams, d.now)
 	d.engines = target.NewClient(settings.Duration(set.Timing.ConnectMS))
-	d.admit = newAdmission(d.now)
+	d.admission = newAdmission(d.now)
 	d.dispatch = &dispatch.Dispatcher{Instance: set.Name, Zone: set.Zone, View: &d.view, Targets: d.engines,
-		Stores: kvstore.NewClient(settings.Duration(set.Timing.ConnectMS)), Hints: d.hints, Explain: d.whys, Log: d.log, Now: d.now,
-		Ledger: keeper{d}, StreamIdleTimeout: stallTimeout, MaxResponseBytes: int64(set.Limits.AnswerBytes)}
+		Stores: kvstore.NewClient(settings.Duration(set.Timing.ConnectMS)), Hints: d.hints, Explain: d.explainLog, Log: d.log, Now: d.now,
+		Ledger: ledgerClient{d}, StreamIdleTimeout: streamIdleTimeout, MaxResponseBytes: int64(set.Limits.AnswerBytes)}
 	d.dispatch.Init(d.ctx)
-	d.callers = &caller.Edge{View: &d.view, Dispatch: d.dispatch, Admit: d.admit, Limits: set.Limits, Log: d.log, Now: d.now}
+	d.callers = &caller.Edge{View: &d.view, Dispatch: d.dispatch, Admit: d.admission, Limits: set.Limits, Log: d.log, Now: d.now}
 	if err := d.listen(); err != nil {
 		d.closeListeners()
 		d.stop()
@@ -104,7 +105,8 @@
 	return d, nil
 }
 
-// listen opens the three listeners with their TLS, and builds the servers.
+// listen opens the listeners for callers, operators and peers, with TLS where
+// certificates are set, and builds their servers.
 func (d *Daemon) listen() error {
 	t := d.set.TLS
 	sec := peer.Security{Secret: []byte(d.set.Peers.Secret)}
@@ -163,16 +165,16 @@
 	}
 }
 
-// CallerAddr, OperatorAddr and PeerAddr are the addresses listened on.
+// CallerAddr returns the address of the listener for callers.
 func (d *Daemon) CallerAddr() string { return d.callerLn.Addr().String() }
 
-// OperatorAddr is the operators' listener.
+// OperatorAddr returns the address of the listener for operators.
 func (d *Daemon) OperatorAddr() string { return d.operatorLn.Addr().String() }
 
-// PeerAddr is the peers' listener.
+// PeerAddr returns the address of the listener for peers.
 func (d *Daemon) PeerAddr() string { return d.peerLn.Addr().String() }
 
-// Start begins to serve.
+// Start starts the background loops and serves on all listeners.
 func (d *Daemon) Start() {
 	advertise := d.set.Peers.Advertise
 	if advertise == "" {
@@ -184,7 +186,7 @@
 	self := member.Member{Name: d.set.Name, Address: advertise, Zone: d.set.Zone, Incarnation: uint64(d.now().UnixMilli())}
 	c := &control{targets: observe.New(observe.ParamsFor(params.Period)), members: member.New(params, self, rand.IntN), now: d.now}
 	for _, f := range [...]func(context.Context){
-		func(ctx context.Context) { d.run(ctx, c) }, d.follow, d.followMachines, d.probeTargets, d.greetSeeds, d.giveOrders,
+		func(ctx context.Context) { d.run(ctx, c) }, d.followConfig, d.followMachines, d.probeTargets, d.joinSeeds, d.runRollouts,
 	} {
 		d.done.Add(1)
 		go func() {
@@ -192,10 +194,10 @@
 			f(d.ctx)
 		}()
 	}
-	serve := func(what string, f func() error) {
+	serve := func(listener string, f func() error) {
 		go func() {
 			if err := f(); err != nil && !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) && d.ctx.Err() == nil {
-				d.log.WithError(err).WithField("listener", what).Error("listener ended")
+				d.log.WithError(err).WithField("listener", listener).Error("listener stopped unexpectedly")
 			}
 		}()
 	}
@@ -205,15 +207,16 @@
 	d.log.WithField("callers", d.CallerAddr()).WithField("operators", d.OperatorAddr()).WithField("peers", advertise).Info("started")
 }
 
-// Ready says whether this instance should get callers' requests: it has a
-// configuration, has asked every target once, and does not drain.
+// Ready reports whether this instance should receive callers' requests: it has a
+// configuration, has probed every target at least once, and is not draining.
 func (d *Daemon) Ready() bool {
 	v := d.view.Load()
 	return v.Config != nil && v.TargetsProbed && !v.Draining
 }
 
-// callerHandler adds the balancer's probes to the callers' endpoints, and asks
-// callers to connect anew elsewhere once this instance drains.
+// callerHandler adds the load balancer's health endpoints to the callers' API.
+// While the instance drains it sends Connection: close, so that callers
+// reconnect to another instance.
 func (d *Daemon) callerHandler() http.Handler {
 	api := d.callers.Handler()
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -234,39 +237,41 @@
 	})
 }
 
-func (d *Daemon) platformSaid(err error) { d.platformOK.Store(err == nil) }
+func (d *Daemon) recordPlatformResult(err error) { d.platformOK.Store(err == nil) }
 
-// CutError says how many requests a shutdown cut.
+// CutError reports how many requests a shutdown aborted.
 type CutError struct{ Requests int64 }
 
 // Error implements error.
-func (e *CutError) Error() string { return "daemon: shutdown cut requests in hand" }
+func (e *CutError) Error() string { return "daemon: shutdown aborted requests in flight" }
 
-// linger is how long a stopping process keeps connections that nobody uses: callers whose
-// machines are held up by seconds come within it, and a stop may take two minutes.
-const linger = 5 * time.Second
+// idleLinger is how long a stopping process keeps idle connections open: callers on
+// machines that stall for seconds still get their requests in, and a stop may take
+// two minutes.
+const idleLinger = 5 * time.Second
 
-// Shutdown ends the process gracefully: not ready at once; it goes on
-// accepting until the balancer has noticed; then it finishes what is in hand.
-// It returns a *CutError if ctx ends, or the drain's deadline passes, first.
+// Shutdown stops the daemon gracefully. It reports not ready at once, keeps
+// accepting requests until the load balancer has had time to notice, and then
+// finishes the requests in flight. It returns a *CutError if ctx ends or the drain
+// deadline passes while requests are still running.
 func (d *Daemon) Shutdown(ctx context.Context) error {
-	notice, hold := settings.Duration(d.set.Timing.DrainNoticeMS), settings.Duration(d.set.Timing.DrainMS)
-	noticed := d.now().Add(notice)
-	d.callers.Stops(&drain.Schedule{AcceptUntil: noticed, AbortAt: noticed.Add(hold)})
+	notice, drainTimeout := settings.Duration(d.set.Timing.DrainNoticeMS), settings.Duration(d.set.Timing.DrainMS)
+	acceptUntil := d.now().Add(notice)
+	d.callers.Stops(&drain.Schedule{AcceptUntil: acceptUntil, AbortAt: acceptUntil.Add(drainTimeout)})
 	d.query(func(c *control) {
 		c.draining = true
-		d.view.Store(c.view(d.set.Name))
+		d.view.Store(c.buildView(d.set.Name))
 	})
 	d.log.WithField("in_hand", d.callers.InHand()).Info("draining")
 	wait.For(ctx, notice)
-	dctx, cancel := context.WithTimeout(ctx, hold)
+	drainCtx, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
-	err := drain.Stop(dctx, d.callerSrv, d.callerLn, &d.callerConns, linger)
-	cut := d.callers.InHand()
+	err := drain.Stop(drainCtx, d.callerSrv, d.callerLn, &d.callerConns, idleLinger)
+	aborted := d.callers.InHand()
 	if err != nil {
 		d.callerSrv.Close()
 	}
-	d.leave()
+	d.announceLeaving()
 	d.operatorSrv.Close()
 	d.peerLn.Close()
 	d.peers.Close()
@@ -276,16 +281,16 @@
 	d.ledger.Wait()
 	d.pool.Close()
 	d.engines.Close()
-	if err != nil && cut > 0 {
-		d.log.WithField("requests", cut).Error("shutdown cut requests")
-		return &CutError{Requests: cut}
+	if err != nil && aborted > 0 {
+		d.log.WithField("requests", aborted).Error("shutdown aborted requests")
+		return &CutError{Requests: aborted}
 	}
 	d.log.Info("stopped")
 	return nil
 }
 
-// Kill ends the daemon as a crash would: listeners and connections are closed
-// under whatever is in hand, and nobody is told.
+// Kill stops the daemon as a crash would: it closes listeners and connections
+// without waiting for requests in flight and does not notify peers.
 func (d *Daemon) Kill() {
 	d.stop()
 	d.callerSrv.Close()
@@ -296,8 +301,8 @@
 	d.engines.Close()
 }
 
-// leave tells some peers goodbye.
-func (d *Daemon) leave() {
+// announceLeaving notifies some peers that this instance leaves.
+func (d *Daemon) announceLeaving() {
 	var probes []member.Probe
 	var self member.Member
 	d.query(func(c *control) { probes, self = c.members.Leave(), c.members.Self() })
@@ -312,6 +317,6 @@
 	wg.Wait()
 }
 
-// SetTruth replaces this instance's beliefs about targets, for the oracle of
-// experiments. It must be called before traffic comes.
-func (d *Daemon) SetTruth(h route.Hints) { d.dispatch.OracleHints = h }
+// SetOracleHints replaces the estimates of cache contents and load with exact values,
+// for the oracle policy of experiments. Call it before the first request.
+func (d *Daemon) SetOracleHints(h route.Hints) { d.dispatch.OracleHints = h }
--- a/internal/daemon/follow.go
+++ b/internal/daemon/follow.go
@@ -14,18 +14,18 @@
 	"github.com/shedhoist/shedhoist/internal/wait"
 )
 
-// watchWait is how long one watch of the platform waits for a change.
-const watchWait = 30 * time.Second
+// watchTimeout is how long one watch call to the platform waits for a change.
+const watchTimeout = 30 * time.Second
 
-// follow keeps this instance at the newest generation: it reads the head, then
-// waits for its change; a failed call is repeated after a jittered pause that
-// grows, so that the end of an outage meets no crowd.
-func (d *Daemon) follow(ctx context.Context) {
+// followConfig keeps this instance at the newest generation: it reads the head and
+// then watches it for changes. Failed calls are repeated with growing, jittered
+// backoff, so that instances do not all return at once when an outage ends.
+func (d *Daemon) followConfig(ctx context.Context) {
 	var version platform.Version
 	failures := 0
 	for ctx.Err() == nil {
-		next, err := d.followOnce(ctx, version)
-		d.platformSaid(err)
+		next, err := d.followConfigOnce(ctx, version)
+		d.recordPlatformResult(err)
 		if err == nil {
 			version, failures = next, 0
 			continue
@@ -35,40 +35,42 @@
 		}
 		failures++
 		metric.PlatformErrors.Inc()
-		d.log.WithError(err).WithField("failures", failures).Warn("platform not reached for configuration")
-		delay := min(settings.Duration(d.set.Timing.ConfigPollMS)<<min(failures-1, 4), maxPlatformPause)
+		d.log.WithError(err).WithField("failures", failures).Warn("cannot read the configuration from the platform")
+		delay := min(settings.Duration(d.set.Timing.ConfigPollMS)<<min(failures-1, 4), maxPlatformBackoff)
 		if !wait.For(ctx, wait.Jitter(delay)) {
 			return
 		}
 	}
 }
 
-// maxPlatformPause bounds the pause between calls to a platform that is down.
-const maxPlatformPause = 30 * time.Second
+// maxPlatformBackoff is the longest pause between calls to a platform that fails.
+const maxPlatformBackoff = 30 * time.Second
 
-func (d *Daemon) followOnce(ctx context.Context, seen platform.Version) (platform.Version, error) {
-	if seen > 0 {
-		if _, err := d.store.Watch(ctx, config.HeadKey, seen, watchWait); err != nil {
-			return seen, err
+// followConfigOnce waits until the head differs from seenVersion and applies it if
+// its generation is newer. It returns the version of the head that it read.
+func (d *Daemon) followConfigOnce(ctx context.Context, seenVersion platform.Version) (platform.Version, error) {
+	if seenVersion > 0 {
+		if _, err := d.store.Watch(ctx, config.HeadKey, seenVersion, watchTimeout); err != nil {
+			return seenVersion, err
 		}
 	}
 	h, version, err := d.repo.Head(ctx)
 	if err != nil {
-		return seen, err
+		return seenVersion, err
 	}
-	if version == 0 { // nothing was ever applied: look again soon
+	if version == 0 { // no configuration exists yet: read again soon
 		wait.For(ctx, wait.Jitter(settings.Duration(d.set.Timing.ConfigPollMS)/4))
 		return 0, nil
 	}
 	if h.Generation > d.generation() {
-		if err := d.adopt(ctx, h, nil); err != nil {
-			return seen, err
+		if err := d.adoptConfig(ctx, h, nil); err != nil {
+			return seenVersion, err
 		}
 	}
 	return version, nil
 }
 
-// generation is the generation in force here; 0 is none.
+// generation returns the generation in force on this instance; 0 means none.
 func (d *Daemon) generation() uint64 {
 	if v := d.view.Load(); v.Config != nil {
 		return v.Head.Generation
@@ -76,16 +78,16 @@
 	return 0
 }
 
-// adopt brings a generation in force here: buckets it lacks are taken from
-// given, then from the platform; all are checked against their hashes.
-func (d *Daemon) adopt(ctx context.Context, h config.Head, given map[string][]byte) error {
-	have := map[string][]byte{}
-	d.query(func(c *control) { have = c.parts })
+// adoptConfig puts a generation in force on this instance. Buckets that it does not
+// hold come from offered, then from the platform; all are verified by their hashes.
+func (d *Daemon) adoptConfig(ctx context.Context, h config.Head, offered map[string][]byte) error {
+	current := map[string][]byte{}
+	d.query(func(c *control) { current = c.buckets })
 	parts, byHash := config.Parts{}, map[string][]byte{}
 	for id, hash := range h.Buckets {
-		data, ok := have[hash]
+		data, ok := current[hash]
 		if !ok {
-			if data, ok = given[hash]; ok && config.Hash(data) != hash {
+			if data, ok = offered[hash]; ok && config.Hash(data) != hash {
 				return &config.CorruptError{Key: hash}
 			}
 		}
@@ -106,27 +108,27 @@
 		metric.ConfigErrors.Inc()
 		return err
 	}
-	d.send(ctx, configAccepted{cfg: cfg, parts: byHash})
-	d.query(func(*control) {}) // the event before has been applied when this returns
+	d.send(ctx, configAccepted{cfg: cfg, buckets: byHash})
+	d.query(func(*control) {}) // returns after the event sent above has been applied
 	d.log.WithField("generation", h.Generation).WithField("author", h.Author).Info("configuration in force")
 	return nil
 }
 
-// pull takes a newer generation from a peer that told of it. The peer's word
-// is proved by hashes only as far as the head's own buckets; the head itself
-// is believed, since peers have proved who they are.
-func (d *Daemon) pull(ctx context.Context, address string) {
-	if !d.pulling.CompareAndSwap(false, true) {
+// fetchConfig fetches a newer generation from the peer that reported it. Hashes
+// verify the buckets against the head; the head itself is trusted, since peers are
+// authenticated.
+func (d *Daemon) fetchConfig(ctx context.Context, address string) {
+	if !d.fetchingConfig.CompareAndSwap(false, true) {
 		return
 	}
-	defer d.pulling.Store(false)
+	defer d.fetchingConfig.Store(false)
 	req := peer.ConfigRequest{}
 	d.query(func(c *control) {
-		for hash := range c.parts {
+		for hash := range c.buckets {
 			req.KnownBuckets = append(req.KnownBuckets, hash)
 		}
 	})
-	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
+	ctx, cancel := context.WithTimeout(ctx, configFetchTimeout)
 	defer cancel()
 	var reply peer.ConfigReply
 	if err := d.pool.Call(ctx, address, "Peer.Config", &req, &reply); err != nil || len(reply.Head) == 0 {
@@ -136,15 +138,16 @@
 	if err != nil || h.Generation <= d.generation() {
 		return
 	}
-	if err := d.adopt(ctx, h, reply.Buckets); err != nil {
-		d.log.WithError(err).WithField("generation", h.Generation).Warn("configuration from a peer not adopted")
+	if err := d.adoptConfig(ctx, h, reply.Buckets); err != nil {
+		d.log.WithError(err).WithField("generation", h.Generation).Warn("cannot apply the configuration from a peer")
 	}
 }
 
-// pullTimeout bounds one transfer of a generation between peers.
-const pullTimeout = 5 * time.Second
+// configFetchTimeout is the deadline for one transfer of a generation between peers.
+const configFetchTimeout = 5 * time.Second
 
-// Config implements peer.Handler.
+// Config implements peer.Handler. The reply leaves out the buckets that the request
+// lists as known.
 func (d *Daemon) Config(req peer.ConfigRequest) (peer.ConfigReply, error) {
 	v := d.view.Load()
 	if v.Config == nil {
@@ -155,13 +158,13 @@
 		return peer.ConfigReply{}, &config.EncodeError{Cause: err}
 	}
 	out := peer.ConfigReply{Head: head, Buckets: map[string][]byte{}}
-	has := map[string]bool{}
+	known := map[string]bool{}
 	for _, hash := range req.KnownBuckets {
-		has[hash] = true
+		known[hash] = true
 	}
 	d.query(func(c *control) {
-		for hash, data := range c.parts {
-			if !has[hash] {
+		for hash, data := range c.buckets {
+			if !known[hash] {
 				out.Buckets[hash] = data
 			}
 		}
@@ -169,12 +172,13 @@
 	return out, nil
 }
 
-// followMachines keeps the lagging list in the control state.
+// followMachines polls the platform's list of machines, which may lag behind, and
+// passes it to the control goroutine.
 func (d *Daemon) followMachines(ctx context.Context) {
 	for ctx.Err() == nil {
 		list, err := d.store.Machines(ctx)
 		if err == nil {
-			d.listed(ctx, list)
+			d.applyMachineList(ctx, list)
 		}
 		if !wait.For(ctx, wait.Jitter(settings.Duration(d.set.Timing.ConfigPollMS))) {
 			return
@@ -182,18 +186,21 @@
 	}
 }
 
-func (d *Daemon) listed(ctx context.Context, list []platform.Machine) {
+// applyMachineList records which machines are leaving and joins live instances that
+// are not members yet.
+func (d *Daemon) applyMachineList(ctx context.Context, machines []platform.Machine) {
 	leaving := map[string]bool{}
-	for _, m := range list {
+	for _, m := range machines {
 		if m.State == platform.StateLeaving {
 			leaving[m.Name] = true
 		}
-		if m.Kind == machineInstance && m.State == platform.StateLive && m.Name != d.set.Name {
-			d.greet(ctx, m.Address)
+		if m.Kind == machineKindInstance && m.State == platform.StateLive && m.Name != d.set.Name {
+			d.join(ctx, m.Address)
 		}
 	}
 	d.send(ctx, machinesListed{leaving: leaving})
 }
 
-// machineInstance is the list's kind of the system's own instances.
-const machineInstance = "instance"
+// machineKindInstance is the kind of the system's own instances in the platform's
+// list of machines.
+const machineKindInstance = "instance"
--- a/internal/daemon/log.go
+++ b/internal/daemon/log.go
@@ -10,7 +10,8 @@
 	"github.com/shedhoist/shedhoist/internal/settings"
 )
 
-// NewLogger returns the process's logger.
+// NewLogger returns a logger that writes logfmt lines if l.Format is "text", and JSON
+// lines otherwise. An unknown level means info.
 func NewLogger(w io.Writer, l settings.Log) *log.Logger {
 	out := &log.Logger{Level: log.InfoLevel}
 	if level, err := log.ParseLevel(l.Level); err == nil {
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -20,11 +20,11 @@
 const (
 	ExitOK       = 0
 	ExitFailed   = 1 // could not start, for example an address in use
-	ExitSettings = 2 // the settings or the command line are wrong; nothing was started
-	ExitCut      = 3 // the shutdown cut requests in hand
+	ExitSettings = 2 // invalid settings or command line; nothing was started
+	ExitCut      = 3 // the shutdown aborted requests in flight
 )
 
-// Main runs the daemon until a signal ends it and returns its exit code.
+// Main runs the daemon until a signal stops it and returns the exit code.
 func Main(args []string, stdout, stderr io.Writer) int {
 	code := ExitOK
 	var file string
@@ -61,8 +61,8 @@
 	return code
 }
 
-// serve runs one daemon. The first SIGTERM or SIGINT drains it, the second
-// ends it at once.
+// serve runs one daemon. The first SIGTERM or SIGINT drains it; the second cancels
+// the drain and aborts the requests in flight.
 func serve(set *settings.Settings, stdout, stderr io.Writer) int {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
@@ -83,9 +83,9 @@
 		<-signals
 		cancel()
 	}()
-	var cut *CutError
-	if err := d.Shutdown(ctx); errors.As(err, &cut) {
-		fmt.Fprintf(stderr, "cut %d requests in hand\n", cut.Requests)
+	var aborted *CutError
+	if err := d.Shutdown(ctx); errors.As(err, &aborted) {
+		fmt.Fprintf(stderr, "cut %d requests in hand\n", aborted.Requests)
 		return ExitCut
 	}
 	return ExitOK
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -15,22 +15,22 @@
 	"github.com/shedhoist/shedhoist/internal/wait"
 )
 
-// probePeers carries out the probes that are due; it runs on the control goroutine.
+// probePeers starts the probes that are due. It runs on the control goroutine.
 func (d *Daemon) probePeers(c *control) {
 	for _, p := range c.members.Tick(c.now()) {
 		go d.ping(d.ctx, p, c.members.Self(), c.targets.NextUpdates(c.now()), false)
 	}
 }
 
-// pinged brings the end of a probe.
-type pinged struct {
+// probeEnded carries the result of a probe.
+type probeEnded struct {
 	d     *Daemon
 	probe member.Probe
 	ok    bool
 	pong  peer.Pong
 }
 
-func (e pinged) apply(c *control) {
+func (e probeEnded) apply(c *control) {
 	now := c.now()
 	c.members.Receive(e.pong.Updates, now)
 	c.targets.MergeDigests(e.pong.Targets, now)
@@ -41,20 +41,20 @@
 	if e.probe.Via != "" {
 		return
 	}
-	if around := c.members.DirectProbeFailed(e.probe.To, now); len(around) > 0 {
-		go e.d.pingAround(e.d.ctx, around)
+	if indirect := c.members.DirectProbeFailed(e.probe.To, now); len(indirect) > 0 {
+		go e.d.probeIndirectly(e.d.ctx, indirect)
 	}
 }
 
-// memberFailed: neither direct nor indirect probes reached a member.
+// memberFailed reports that neither direct nor indirect probes reached a member.
 type memberFailed struct{ name string }
 
 func (e memberFailed) apply(c *control) { c.members.ProbeFailed(e.name, c.now()) }
 
-// heardFrom brings the news on a peer's own message.
-type heardFrom struct{ ping peer.Ping }
+// pingReceived carries the updates of a ping that a peer sent.
+type pingReceived struct{ ping peer.Ping }
 
-func (e heardFrom) apply(c *control) {
+func (e pingReceived) apply(c *control) {
 	now := c.now()
 	c.members.Receive([]member.Member{e.ping.From}, now)
 	c.members.Receive(e.ping.Updates, now)
@@ -63,27 +63,29 @@
 
 func (d *Daemon) pingTimeout() time.Duration { return settings.Duration(d.set.Timing.HeartbeatMS) }
 
-// ping sends one direct probe.
-func (d *Daemon) ping(ctx context.Context, p member.Probe, self member.Member, news []observe.Digest, join bool) {
+// ping sends one direct probe. If the peer has a newer generation of the
+// configuration, it starts to fetch that.
+func (d *Daemon) ping(ctx context.Context, p member.Probe, self member.Member, updates []observe.Digest, join bool) {
 	ctx, cancel := context.WithTimeout(ctx, d.pingTimeout())
 	defer cancel()
-	req := peer.Ping{From: self, Generation: d.generation(), Updates: p.Updates, Join: join, Targets: news, Demand: d.admit.Demands()}
+	req := peer.Ping{From: self, Generation: d.generation(), Updates: p.Updates, Join: join, Targets: updates, Demand: d.admission.TopDemands()}
 	var pong peer.Pong
 	err := d.pool.Call(ctx, p.Address, "Peer.Ping", &req, &pong)
 	if err == nil && pong.Generation > d.generation() {
-		go d.pull(d.ctx, p.Address)
+		go d.fetchConfig(d.ctx, p.Address)
 	}
 	if err == nil && !join {
-		d.admit.Told(p.To, pong.Demand)
+		d.admission.SetPeerDemands(p.To, pong.Demand)
 	}
 	if join && err != nil {
-		return // a seed that does not answer is no member yet
+		return // a seed that does not answer does not become a member
 	}
-	d.send(d.ctx, pinged{d: d, probe: p, ok: err == nil, pong: pong})
+	d.send(d.ctx, probeEnded{d: d, probe: p, ok: err == nil, pong: pong})
 }
 
-// pingAround asks other members to probe a silent one.
-func (d *Daemon) pingAround(ctx context.Context, probes []member.Probe) {
+// probeIndirectly asks other members to probe one that did not answer. One success
+// is enough.
+func (d *Daemon) probeIndirectly(ctx context.Context, probes []member.Probe) {
 	results := make(chan bool, len(probes))
 	for _, p := range probes {
 		go func() {
@@ -96,16 +98,16 @@
 	}
 	for range probes {
 		if <-results {
-			d.send(ctx, pinged{d: d, probe: probes[0], ok: true})
+			d.send(ctx, probeEnded{d: d, probe: probes[0], ok: true})
 			return
 		}
 	}
 	d.send(ctx, memberFailed{name: probes[0].To})
 }
 
-// greet joins by way of an address that may belong to a peer, unless its
-// instance is a live member already.
-func (d *Daemon) greet(ctx context.Context, address string) {
+// join sends a join request to an address that may belong to a peer, unless it is
+// the address of a live member.
+func (d *Daemon) join(ctx context.Context, address string) {
 	known := false
 	var self member.Member
 	d.query(func(c *control) {
@@ -119,49 +121,52 @@
 	}
 }
 
-// greetSeeds joins, and joins again after a long cut in which the members
-// forgot one another. A young instance also asks some members for all they know,
-// ever more rarely: when many start at once their news would otherwise queue
-// behind one another on the probes.
-func (d *Daemon) greetSeeds(ctx context.Context) {
+// joinSeeds joins by way of the seeds, and again after a network partition so long
+// that members removed each other. After its start an instance also requests the
+// full state of some members, at growing intervals: when many instances start at
+// once, updates that travel only on probes queue behind one another.
+func (d *Daemon) joinSeeds(ctx context.Context) {
 	for round := 1; ; round++ {
 		for _, seed := range d.set.Peers.Seeds {
-			d.greet(ctx, seed)
+			d.join(ctx, seed)
 		}
-		if round <= youngRounds && bits.OnesCount(uint(round)) == 1 {
-			d.askAllOf(ctx)
+		if round <= fullStateRounds && bits.OnesCount(uint(round)) == 1 {
+			d.requestFullState(ctx)
 		}
-		if !wait.For(ctx, wait.Jitter(seedPeriod)) {
+		if !wait.For(ctx, wait.Jitter(seedRetryInterval)) {
 			return
 		}
 	}
 }
 
-// youngRounds is how many rounds of greeting an instance is young for; it asks
-// in rounds 1, 2, 4, 8, 16.
-const youngRounds = 16
+// fullStateRounds is the last round of joinSeeds that may request full state; the
+// rounds that do are 1, 2, 4, 8 and 16.
+const fullStateRounds = 16
 
-// askAllOf joins again by way of a random member, whose answer holds all.
-func (d *Daemon) askAllOf(ctx context.Context) {
-	others := d.others(ctx)
-	if len(others) == 0 {
+// requestFullState joins again by way of a random member, whose reply to a join
+// holds its full state.
+func (d *Daemon) requestFullState(ctx context.Context) {
+	candidates := d.otherMembers(ctx)
+	if len(candidates) == 0 {
 		return
 	}
-	m := others[rand.IntN(len(others))]
+	m := candidates[rand.IntN(len(candidates))]
 	var self member.Member
 	d.query(func(c *control) { self = c.members.Self() })
 	go d.ping(d.ctx, member.Probe{To: m.Name, Address: m.Address}, self, nil, true)
 }
 
-// seedPeriod is how often seeds that are no live members are tried again.
-const seedPeriod = 2 * time.Second
+// seedRetryInterval is the mean interval between attempts to join by way of seeds that
+// are not live members.
+const seedRetryInterval = 2 * time.Second
 
-// Ping implements peer.Handler.
+// Ping implements peer.Handler. The reply to a join holds the full state, others
+// hold only updates.
 func (d *Daemon) Ping(req peer.Ping) peer.Pong {
-	out := peer.Pong{Generation: d.generation(), Demand: d.admit.Demands()}
-	d.admit.Told(req.From.Name, req.Demand)
+	out := peer.Pong{Generation: d.generation(), Demand: d.admission.TopDemands()}
+	d.admission.SetPeerDemands(req.From.Name, req.Demand)
 	d.query(func(c *control) {
-		heardFrom{ping: req}.apply(c)
+		pingReceived{ping: req}.apply(c)
 		if req.Join {
 			out.Updates, out.Targets = c.members.Members(), c.targets.AllDigests(c.now())
 		} else {
@@ -169,13 +174,13 @@
 		}
 	})
 	if req.Generation > out.Generation {
-		go d.pull(d.ctx, req.From.Address)
+		go d.fetchConfig(d.ctx, req.From.Address)
 	}
 	return out
 }
 
-// Explain implements peer.Handler.
-func (d *Daemon) Explain(id string) *explain.Record { return d.whys.Get(id) }
+// Explain implements peer.Handler; it returns nil if this instance has no record.
+func (d *Daemon) Explain(id string) *explain.Record { return d.explainLog.Get(id) }
 
 // Status implements peer.Handler.
 func (d *Daemon) Status() peer.Status {
--- a/internal/daemon/probe.go
+++ b/internal/daemon/probe.go
@@ -18,31 +18,31 @@
 	"github.com/shedhoist/shedhoist/internal/wait"
 )
 
-// probeTargets runs a prober for each target that this instance observes, and
-// follows changes of the configuration and of the members.
+// probeTargets runs one probe loop for each target assigned to this instance and
+// updates the set when the configuration or the members change.
 func (d *Daemon) probeTargets(ctx context.Context) {
 	type running struct {
 		address string
 		stop    context.CancelFunc
 	}
 	probers := map[string]running{}
-	var seen assignment
+	var previous observerInputs
 	for wait.For(ctx, settings.Duration(d.set.Timing.ProbeMS)/2) {
 		v := d.view.Load()
-		now := assignmentOf(v)
-		if now == seen {
+		current := observerInputsOf(v)
+		if current == previous {
 			continue
 		}
-		seen = now
-		want := d.observed(v)
-		d.observing.Store(int64(len(want)))
+		previous = current
+		assigned := d.assignedTargets(v)
+		d.observedCount.Store(int64(len(assigned)))
 		for name, p := range probers {
-			if t, ok := want[name]; !ok || t.Address != p.address {
+			if t, ok := assigned[name]; !ok || t.Address != p.address {
 				p.stop()
 				delete(probers, name)
 			}
 		}
-		for name, t := range want {
+		for name, t := range assigned {
 			if _, ok := probers[name]; ok {
 				continue
 			}
@@ -53,39 +53,41 @@
 	}
 }
 
-// assignment is what the choice of observers depends on. To work it out again
-// costs targets times members, so it is done only when one of them changed.
-type assignment struct{ generation, members uint64 }
+// observerInputs identifies the inputs of the assignment of targets to observers.
+// Computing the assignment costs targets times members, so it is repeated only when
+// an input has changed.
+type observerInputs struct{ generation, members uint64 }
 
-func assignmentOf(v *view.View) assignment {
+func observerInputsOf(v *view.View) observerInputs {
 	if v.Config == nil {
-		return assignment{}
+		return observerInputs{}
 	}
 	var h xxhash.Digest
 	h.Reset()
 	for _, o := range v.Observers {
 		_, _ = h.WriteString(o.Name + "/" + o.Zone + "\x00")
 	}
-	return assignment{generation: v.Head.Generation, members: h.Sum64()}
+	return observerInputs{generation: v.Head.Generation, members: h.Sum64()}
 }
 
-// probeShare of the probe period is the least time between two probes of one
-// instance on the average: what it spends on probes does not grow with the
-// targets it observes. At the default period that is 8 probes a second.
-const probeShare = 2
+// probesPerPeriod is the largest mean number of probes that one instance sends per
+// probe period, so that the cost of probing does not grow with the number of targets
+// assigned to it. With the default period that is 8 probes per second.
+const probesPerPeriod = 2
 
-// probePeriod is the time between two probes of one target. One that has just
-// failed is looked at again soon, so that it is known sooner.
-func (d *Daemon) probePeriod(failures int) time.Duration {
-	least := settings.Duration(d.set.Timing.ProbeMS)
+// probeInterval returns the time between two probes of one target. A target that has
+// just failed is probed again after the shortest interval, so that its failure is
+// confirmed sooner.
+func (d *Daemon) probeInterval(failures int) time.Duration {
+	minInterval := settings.Duration(d.set.Timing.ProbeMS)
 	if failures > 0 && failures < observe.DefaultParams.FailureThreshold {
-		return least
+		return minInterval
 	}
-	return max(least, time.Duration(d.observing.Load())*least/probeShare)
+	return max(minInterval, time.Duration(d.observedCount.Load())*minInterval/probesPerPeriod)
 }
 
-// observed are the targets that fall to this instance.
-func (d *Daemon) observed(v *view.View) map[string]config.Target {
+// assignedTargets returns the targets that this instance observes, by name.
+func (d *Daemon) assignedTargets(v *view.View) map[string]config.Target {
 	out := map[string]config.Target{}
 	if v.Config == nil {
 		return out
@@ -98,36 +100,36 @@
 	return out
 }
 
-// probe asks one target for its report until ctx ends.
+// probe polls the status and cache events of one target until ctx ends.
 func (d *Daemon) probe(ctx context.Context, t config.Target) {
 	period := settings.Duration(d.set.Timing.ProbeMS)
 	var seq uint64
 	var version string
 	failures := 0
 	for {
-		st, rtt, err := d.askTarget(ctx, t, period)
+		st, rtt, err := d.fetchStatus(ctx, t, period)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
 			failures++
-			d.send(ctx, targetFailed{name: t.Name})
+			d.send(ctx, targetProbeFailed{name: t.Name})
 		} else {
 			failures = 0
-			d.send(ctx, targetHeard{name: t.Name, report: reportOf(st, rtt)})
+			d.send(ctx, targetReported{name: t.Name, report: reportOf(st, rtt)})
 			if version != st.Version && version != "" {
-				d.hints.RemoveTarget(t.Name) // other weights: all of its cache is gone
+				d.hints.RemoveTarget(t.Name) // a change of weights empties the cache
 			}
 			version = st.Version
 			seq = d.readEvents(ctx, t, seq, st.EventSeq)
 		}
-		if !wait.For(ctx, wait.Jitter(d.probePeriod(failures))) {
+		if !wait.For(ctx, wait.Jitter(d.probeInterval(failures))) {
 			return
 		}
 	}
 }
 
-func (d *Daemon) askTarget(ctx context.Context, t config.Target, period time.Duration) (target.Status, time.Duration, error) {
+func (d *Daemon) fetchStatus(ctx context.Context, t config.Target, period time.Duration) (target.Status, time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, max(4*period, time.Second))
 	defer cancel()
 	metric.TargetProbes.Inc()
@@ -141,14 +143,15 @@
 		Running: st.Running + st.Waiting, QueuedTokens: st.QueuedTokens, Age: time.Duration(st.AgeMS * float64(time.Millisecond)), RTT: rtt}
 }
 
-// readEvents applies the target's cache events behind seq. An engine whose
-// sequence went down has restarted: all that was believed of it is dropped.
-func (d *Daemon) readEvents(ctx context.Context, t config.Target, seq, at uint64) uint64 {
-	if at < seq {
+// readEvents applies the target's cache events after seq and returns the sequence
+// number reached. If the engine's sequence number has gone down, the engine has
+// restarted, and everything known about its cache is removed.
+func (d *Daemon) readEvents(ctx context.Context, t config.Target, seq, latest uint64) uint64 {
+	if latest < seq {
 		d.hints.RemoveTarget(t.Name)
 		seq = 0
 	}
-	if at == seq {
+	if latest == seq {
 		return seq
 	}
 	page, err := d.engines.Events(ctx, t.Address, seq)
--- a/internal/daemon/state.go
+++ b/internal/daemon/state.go
@@ -16,10 +16,10 @@
 	"github.com/shedhoist/shedhoist/internal/view"
 )
 
-// View implements operator.State.
+// View implements operator.State; it returns the view last published.
 func (d *Daemon) View() *view.View { return d.view.Load() }
 
-// Members implements operator.State.
+// Members implements operator.State; it includes this instance and members that failed.
 func (d *Daemon) Members(ctx context.Context) []operator.Member {
 	var out []operator.Member
 	for _, m := range d.members(ctx) {
@@ -34,8 +34,9 @@
 	return out
 }
 
-// others are the members that may answer a call.
-func (d *Daemon) others(ctx context.Context) []member.Member {
+// otherMembers returns the members, other than this instance, that are alive or
+// suspected and so may answer a call.
+func (d *Daemon) otherMembers(ctx context.Context) []member.Member {
 	var out []member.Member
 	for _, m := range d.members(ctx) {
 		if m.Name != d.set.Name && m.State <= member.Suspect {
@@ -45,20 +46,20 @@
 	return out
 }
 
-// callTimeout bounds one call to a peer on an operator's behalf.
-const callTimeout = time.Second
+// peerCallTimeout is the deadline for one call to a peer on behalf of an operator.
+const peerCallTimeout = time.Second
 
-// askAll calls every other member at once and hands each reply to take, one
-// at a time. It returns the names that did not answer.
-func askAll[T any](ctx context.Context, d *Daemon, method string, args any, take func(member.Member, T)) []string {
+// callMembers calls all other members in parallel and passes each reply to collect,
+// one at a time. It returns the names of those that did not answer.
+func callMembers[T any](ctx context.Context, d *Daemon, method string, args any, collect func(member.Member, T)) []string {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	missing := []string{}
-	for _, m := range d.others(ctx) {
+	for _, m := range d.otherMembers(ctx) {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			ctx, cancel := context.WithTimeout(ctx, callTimeout)
+			ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 			defer cancel()
 			var reply T
 			err := d.pool.Call(ctx, m.Address, method, args, &reply)
@@ -68,7 +69,7 @@
 				missing = append(missing, m.Name)
 				return
 			}
-			take(m, reply)
+			collect(m, reply)
 		}()
 	}
 	wg.Wait()
@@ -76,11 +77,11 @@
 	return missing
 }
 
-// Fleet implements operator.State: it asks every live member now, so the
-// answer is no memory of gossip.
+// Fleet implements operator.State. It calls every live member, so the result is
+// current and does not depend on gossip.
 func (d *Daemon) Fleet(ctx context.Context) operator.Fleet {
 	out := operator.Fleet{Instances: []peer.Status{d.Status()}, Behind: []string{}}
-	out.Unreached = askAll(ctx, d, "Peer.Status", &peer.StatusRequest{}, func(_ member.Member, st peer.Status) {
+	out.Unreached = callMembers(ctx, d, "Peer.Status", &peer.StatusRequest{}, func(_ member.Member, st peer.Status) {
 		out.Instances = append(out.Instances, st)
 	})
 	sort.Slice(out.Instances, func(i, j int) bool { return out.Instances[i].Name < out.Instances[j].Name })
@@ -96,7 +97,7 @@
 	return out
 }
 
-// Targets implements operator.State.
+// Targets implements operator.State; it lists the targets of the view last published.
 func (d *Daemon) Targets() []operator.Target {
 	out := []operator.Target{}
 	for _, t := range d.view.Load().Targets.Targets {
@@ -106,14 +107,14 @@
 	return out
 }
 
-// ExplainAnywhere implements operator.State: the record is sought here, then
-// at every live member, since any instance may have served the request.
+// ExplainAnywhere implements operator.State. It looks for the record on this
+// instance, then on every live member, since any instance may have served the request.
 func (d *Daemon) ExplainAnywhere(ctx context.Context, id string) *explain.Record {
-	if r := d.whys.Get(id); r != nil {
+	if r := d.explainLog.Get(id); r != nil {
 		return r
 	}
 	var found *explain.Record
-	askAll(ctx, d, "Peer.Explain", &peer.ExplainRequest{ID: id}, func(_ member.Member, e peer.ExplainReply) {
+	callMembers(ctx, d, "Peer.Explain", &peer.ExplainRequest{ID: id}, func(_ member.Member, e peer.ExplainReply) {
 		if e.Record != nil {
 			found = e.Record
 		}
@@ -121,42 +122,42 @@
 	return found
 }
 
-// dump is the whole state of the process, without prompts and secrets.
+// dump is the state dump of the process, without prompts and secrets.
 type dump struct {
-	Instance   string            `json:"instance"`
-	Zone       string            `json:"zone"`
-	Version    string            `json:"version"`
-	Time       time.Time         `json:"time"`
-	Status     peer.Status       `json:"status"`
-	Settings   any               `json:"settings"`
-	Config     any               `json:"config"`
-	Members    []operator.Member `json:"members"`
-	Targets    []operator.Target `json:"targets"`
-	Running    map[string]int    `json:"requests_by_customer"`
-	HintKeys   int               `json:"hint_keys"`
-	WhyRecords int               `json:"why_records"`
-	Goroutines int               `json:"goroutines"`
-	HeapBytes  uint64            `json:"heap_bytes"`
-	Demands    []limit.Demand    `json:"demands"`
+	Instance       string            `json:"instance"`
+	Zone           string            `json:"zone"`
+	Version        string            `json:"version"`
+	Time           time.Time         `json:"time"`
+	Status         peer.Status       `json:"status"`
+	Settings       any               `json:"settings"`
+	Config         any               `json:"config"`
+	Members        []operator.Member `json:"members"`
+	Targets        []operator.Target `json:"targets"`
+	InFlight       map[string]int    `json:"requests_by_customer"`
+	HintKeys       int               `json:"hint_keys"`
+	ExplainRecords int               `json:"why_records"`
+	Goroutines     int               `json:"goroutines"`
+	HeapBytes      uint64            `json:"heap_bytes"`
+	Demands        []limit.Demand    `json:"demands"`
 }
 
-// secretMembers are the JSON members that a dump must not show.
-var secretMembers = []string{"isolation_secret", "key_sha256", "Secret", "SecretFile", "Token", "TokenFile", "KeyHashes"}
+// secretKeys are the JSON keys whose values a dump must not show.
+var secretKeys = []string{"isolation_secret", "key_sha256", "Secret", "SecretFile", "Token", "TokenFile", "KeyHashes"}
 
-// Dump implements operator.State.
+// Dump implements operator.State; it returns a dump with secrets redacted.
 func (d *Daemon) Dump(ctx context.Context) any {
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
 	v := d.view.Load()
 	out := dump{Instance: d.set.Name, Zone: d.set.Zone, Version: version.String, Time: d.now(), Status: d.Status(), Members: d.Members(ctx),
-		Targets: d.Targets(), Running: d.admit.Running(), HintKeys: d.hints.KeyCount(), WhyRecords: d.whys.Len(),
-		Goroutines: runtime.NumGoroutine(), HeapBytes: mem.HeapAlloc, Demands: d.admit.Demands()}
-	out.Settings, _ = operator.Redact(d.set, secretMembers...)
+		Targets: d.Targets(), InFlight: d.admission.InFlight(), HintKeys: d.hints.KeyCount(), ExplainRecords: d.explainLog.Len(),
+		Goroutines: runtime.NumGoroutine(), HeapBytes: mem.HeapAlloc, Demands: d.admission.TopDemands()}
+	out.Settings, _ = operator.Redact(d.set, secretKeys...)
 	if v.Config != nil {
 		out.Config, _ = operator.Redact(struct {
 			Head   any `json:"head"`
 			Bundle any `json:"bundle"`
-		}{v.Head, v.Bundle}, secretMembers...)
+		}{v.Head, v.Bundle}, secretKeys...)
 	}
 	return out
 }
--- a/internal/e2e/rollout_test.go
+++ b/internal/e2e/rollout_test.go
@@ -100,7 +100,7 @@
 // holder finds the instance that orders fall to.
 func holder(f *fleet.Fleet) int {
 	for i, d := range f.Daemons {
-		if d.HoldsOrders() {
+		if d.IsRolloutLeader() {
 			return i
 		}
 	}
--- a/internal/standin/measure/bench.go
+++ b/internal/standin/measure/bench.go
@@ -145,7 +145,7 @@
 	}
 	if name == string(route.Oracle) {
 		for _, d := range f.Daemons {
-			d.SetTruth(truth{f})
+			d.SetOracleHints(truth{f})
 		}
 	}
 	return f, nil
