--- a/internal/daemon/state.go
+++ b/internal/daemon/state.go
@@ -81,7 +81,7 @@
 // current and does not depend on gossip.
 func (d *Daemon) Fleet(ctx context.Context) operator.Fleet {
 	out := operator.Fleet{Instances: []peer.Status{d.Status()}, Behind: []string{}}
-	out.Unreached = callMembers(ctx, d, "Peer.Status", &peer.StatusRequest{}, func(_ member.Member, st peer.Status) {
+	out.Unreachable = callMembers(ctx, d, "Peer.Status", &peer.StatusRequest{}, func(_ member.Member, st peer.Status) {
 		out.Instances = append(out.Instances, st)
 	})
 	sort.Slice(out.Instances, func(i, j int) bool { return out.Instances[i].Name < out.Instances[j].Name })
@@ -93,7 +93,7 @@
 			out.Behind = append(out.Behind, st.Name)
 		}
 	}
-	out.Everywhere = len(out.Behind) == 0 && len(out.Unreached) == 0
+	out.InForceEverywhere = len(out.Behind) == 0 && len(out.Unreachable) == 0
 	return out
 }
 
@@ -102,14 +102,14 @@
 	out := []operator.Target{}
 	for _, t := range d.view.Load().Targets.Targets {
 		out = append(out, operator.Target{Name: t.Name, Address: t.Address, Zone: t.Zone, Model: t.Model, Version: t.Version,
-			Adapters: t.Adapters, State: t.State.String(), Running: t.Running, Queued: t.QueuedTokens, ReportMS: t.ReportAgeMS, RTTMS: t.RTTMS})
+			Adapters: t.Adapters, State: t.State.String(), Running: t.Running, QueuedTokens: t.QueuedTokens, ReportAgeMS: t.ReportAgeMS, RTTMS: t.RTTMS})
 	}
 	return out
 }
 
-// ExplainAnywhere implements operator.State. It looks for the record on this
+// FindExplainRecord implements operator.State. It looks for the record on this
 // instance, then on every live member, since any instance may have served the request.
-func (d *Daemon) ExplainAnywhere(ctx context.Context, id string) *explain.Record {
+func (d *Daemon) FindExplainRecord(ctx context.Context, id string) *explain.Record {
 	if r := d.explainLog.Get(id); r != nil {
 		return r
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator is the edge towards operators: state of the process and of
-// the fleet as JSON, metrics, and why-records, for those who show a key.
+// Package operator serves the operators' HTTP API: state of the process and of the
+// fleet as JSON, metrics, and explain records. Every request needs a key.
 package operator
 
 import (
@@ -20,14 +20,14 @@
 	"github.com/shedhoist/shedhoist/internal/view"
 )
 
-// Fleet is the answer of /v1/status: whether the newest generation known is in
-// force everywhere.
+// Fleet is the response of /v1/status: whether the newest generation that is in force
+// on any instance is in force on all.
 type Fleet struct {
-	Generation uint64        `json:"generation"` // the highest any instance has in force
-	Everywhere bool          `json:"in_force_everywhere"`
-	Instances  []peer.Status `json:"instances"`
-	Behind     []string      `json:"behind"`      // instances at a lower generation
-	Unreached  []string      `json:"unreachable"` // members that did not answer
+	Generation        uint64        `json:"generation"` // highest in force on any instance
+	InForceEverywhere bool          `json:"in_force_everywhere"`
+	Instances         []peer.Status `json:"instances"`
+	Behind            []string      `json:"behind"`      // instances at a lower generation
+	Unreachable       []string      `json:"unreachable"` // members that did not answer
 }
 
 // Member is one row of /v1/members.
@@ -41,39 +41,39 @@
 
 // Target is one row of /v1/targets.
 type Target struct {
-	Name     string   `json:"name"`
-	Address  string   `json:"address"`
-	Zone     string   `json:"zone"`
-	Model    string   `json:"model"`
-	Version  string   `json:"weight_version"`
-	Adapters []string `json:"adapters"`
-	State    string   `json:"state"`
-	Running  int      `json:"running"`
-	Queued   int      `json:"queued_tokens"`
-	ReportMS float64  `json:"report_age_ms"`
-	RTTMS    float64  `json:"rtt_ms"`
+	Name         string   `json:"name"`
+	Address      string   `json:"address"`
+	Zone         string   `json:"zone"`
+	Model        string   `json:"model"`
+	Version      string   `json:"weight_version"`
+	Adapters     []string `json:"adapters"`
+	State        string   `json:"state"`
+	Running      int      `json:"running"`
+	QueuedTokens int      `json:"queued_tokens"`
+	ReportAgeMS  float64  `json:"report_age_ms"`
+	RTTMS        float64  `json:"rtt_ms"`
 }
 
-// State is the process as operators see it.
+// State is the access of the API to the state of the process and of the fleet.
 type State interface {
 	View() *view.View
 	Fleet(ctx context.Context) Fleet
 	Members(ctx context.Context) []Member
 	Targets() []Target
 	Dump(ctx context.Context) any
-	ExplainAnywhere(ctx context.Context, id string) *explain.Record
+	FindExplainRecord(ctx context.Context, id string) *explain.Record
 }
 
-// Edge serves operators.
+// Edge serves the operators' HTTP API.
 type Edge struct {
 	State State
-	Keys  []string // SHA-256 of keys beside those of the configuration
+	Keys  []string // SHA-256 hashes of keys, in addition to those of the configuration
 }
 
-// opTimeout bounds one operator's request.
-const opTimeout = 5 * time.Second
+// requestTimeout is the deadline for one request of an operator.
+const requestTimeout = 5 * time.Second
 
-// Handler serves the operators' endpoints. All demand a key.
+// Handler returns the handler of all endpoints, including /metrics. All require a key.
 func (e *Edge) Handler() http.Handler {
 	mux := http.NewServeMux()
 	get := func(path string, f func(ctx context.Context) any) {
@@ -85,7 +85,7 @@
 	get("/v1/dump", func(ctx context.Context) any { return e.State.Dump(ctx) })
 	mux.Handle("GET /v1/explain/{id}", e.server(e.explain))
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { metrics.WritePrometheus(w, true) })
-	return e.guard(mux)
+	return e.requireKey(mux)
 }
 
 func (e *Edge) server(ep endpoint.Endpoint) http.Handler {
@@ -103,31 +103,32 @@
 }
 
 func (e *Edge) explain(ctx context.Context, request any) (any, error) {
-	rec := e.State.ExplainAnywhere(ctx, request.(string))
+	rec := e.State.FindExplainRecord(ctx, request.(string))
 	if rec == nil {
 		return nil, problem.New(problem.NotFound, "no instance that answers knows this request")
 	}
 	return rec, nil
 }
 
-// guard lets nobody in without a key.
-func (e *Edge) guard(next http.Handler) http.Handler {
+// requireKey rejects requests without a valid key and sets the deadline of the others.
+func (e *Edge) requireKey(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
-		if key == "" || !e.known(key) {
+		if key == "" || !e.authorized(key) {
 			problem.New(problem.Unauthorized, "an operator's key is needed").Write(w)
 			return
 		}
-		ctx, cancel := context.WithTimeout(r.Context(), opTimeout)
+		ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 		defer cancel()
 		next.ServeHTTP(w, r.WithContext(ctx))
 	})
 }
 
-func (e *Edge) known(key string) bool {
+// authorized reports whether key is listed in Keys or in the configuration.
+func (e *Edge) authorized(key string) bool {
 	hash := view.KeyHash(key)
-	for _, have := range e.Keys {
-		if subtle.ConstantTimeCompare([]byte(strings.ToLower(have)), []byte(hash)) == 1 {
+	for _, allowed := range e.Keys {
+		if subtle.ConstantTimeCompare([]byte(strings.ToLower(allowed)), []byte(hash)) == 1 {
 			return true
 		}
 	}
@@ -138,7 +139,8 @@
 	return false
 }
 
-// Redact returns v as JSON data without the members that hold secrets.
+// Redact returns v as decoded JSON in which the values of the keys in secrets are
+// replaced by "redacted", at any depth.
 func Redact(v any, secrets ...string) (any, error) {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -148,24 +150,24 @@
 	if err := json.Unmarshal(data, &out); err != nil {
 		return nil, err
 	}
-	strip(out, secrets)
+	redactKeys(out, secrets)
 	return out, nil
 }
 
-func strip(v any, secrets []string) {
-	switch x := v.(type) {
+func redactKeys(v any, keys []string) {
+	switch node := v.(type) {
 	case map[string]any:
-		for _, s := range secrets {
-			if _, ok := x[s]; ok {
-				x[s] = "redacted"
+		for _, key := range keys {
+			if _, ok := node[key]; ok {
+				node[key] = "redacted"
 			}
 		}
-		for _, inner := range x {
-			strip(inner, secrets)
+		for _, inner := range node {
+			redactKeys(inner, keys)
 		}
 	case []any:
-		for _, inner := range x {
-			strip(inner, secrets)
+		for _, inner := range node {
+			redactKeys(inner, keys)
 		}
 	}
 }
--- a/internal/tool/state.go
+++ b/internal/tool/state.go
@@ -117,7 +117,7 @@
 		err := o.ask(ctx, "/v1/status", &f)
 		if err == nil {
 			in := 0
-			last = append([]string(nil), f.Unreached...)
+			last = append([]string(nil), f.Unreachable...)
 			for _, st := range f.Instances {
 				if st.Generation >= generation {
 					in++
@@ -125,7 +125,7 @@
 					last = append(last, st.Name)
 				}
 			}
-			fmt.Fprintf(o.err, "generation %d in force at %d of %d instances\n", generation, in, len(f.Instances)+len(f.Unreached))
+			fmt.Fprintf(o.err, "generation %d in force at %d of %d instances\n", generation, in, len(f.Instances)+len(f.Unreachable))
 			if len(last) == 0 {
 				return nil
 			}
@@ -156,12 +156,12 @@
 				return err
 			}
 			return o.show(f, func(w io.Writer) {
-				fmt.Fprintf(w, "generation %d in force everywhere: %v\n", f.Generation, f.Everywhere)
+				fmt.Fprintf(w, "generation %d in force everywhere: %v\n", f.Generation, f.InForceEverywhere)
 				fmt.Fprintln(w, "INSTANCE\tZONE\tGENERATION\tREADY\tDRAINING\tIN HAND\tPLATFORM")
 				for _, st := range f.Instances {
 					fmt.Fprintf(w, "%s\t%s\t%d\t%v\t%v\t%d\t%s\n", st.Name, st.Zone, st.Generation, st.Ready, st.Draining, st.InFlight, reached(st.PlatformOK))
 				}
-				for _, name := range f.Unreached {
+				for _, name := range f.Unreachable {
 					fmt.Fprintf(w, "%s\t?\t?\t?\t?\t?\tinstance not reached\n", name)
 				}
 			})
@@ -201,7 +201,7 @@
 			return o.show(list, func(w io.Writer) {
 				fmt.Fprintln(w, "TARGET\tZONE\tMODEL\tVERSION\tSTATE\tRUNNING\tQUEUED TOKENS\tREPORT AGE MS")
 				for _, t := range list {
-					fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%.0f\n", t.Name, t.Zone, t.Model, t.Version, t.State, t.Running, t.Queued, t.ReportMS)
+					fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%.0f\n", t.Name, t.Zone, t.Model, t.Version, t.State, t.Running, t.QueuedTokens, t.ReportAgeMS)
 				}
 			})
 		}}
