--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -1,6 +1,7 @@
-// Package caller is the edge towards callers: OpenAI-style model endpoints and
-// plain services over HTTP. It authenticates, decodes, admits, and hands on to
-// package dispatch; every failure is a problem document with its execution.
+// Package caller serves callers over HTTP: OpenAI-compatible model endpoints and
+// plain services. It authenticates, decodes and admits requests and passes them
+// to package dispatch. Every failure is returned as a problem document that
+// states whether the request was executed.
 package caller
 
 import (
@@ -25,59 +26,59 @@
 	"github.com/shedhoist/shedhoist/internal/view"
 )
 
-// Admission lets a customer's request in, or refuses it with a *problem.Problem.
+// Admission admits a customer's request, or refuses it with a *problem.Problem.
 type Admission interface {
-	// Admit returns what must be called once when the request ends, with the
-	// number of tokens it generated.
+	// Admit returns a function that must be called exactly once when the request
+	// ends, with the number of tokens it generated.
 	Admit(c *view.Customer, promptTokens, instances int) (release func(generated int), err error)
 }
 
-// Edge serves callers.
-type Edge struct {
-	View     *view.Holder
-	Dispatch *dispatch.Dispatcher
-	Admit    Admission
-	Limits   settings.Limits
-	Log      log.Interface
-	Now      func() time.Time
-
-	inHand atomic.Int64
-	stop   atomic.Pointer[drain.Schedule] // nil: the process does not stop
+// Server handles the callers' requests.
+type Server struct {
+	View      *view.Holder
+	Dispatch  *dispatch.Dispatcher
+	Admission Admission
+	Limits    settings.Limits
+	Log       log.Interface
+	Now       func() time.Time
+
+	inFlight     atomic.Int64
+	stopSchedule atomic.Pointer[drain.Schedule] // nil while no stop is scheduled
 }
 
-// InHand is the number of requests being served.
-func (e *Edge) InHand() int64 { return e.inHand.Load() }
+// InFlight returns the number of requests being served.
+func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
-// Handler serves the callers' endpoints.
-func (e *Edge) Handler() http.Handler {
+// Handler returns the handler of all endpoints for callers.
+func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("POST /v1/completions", e.server(e.model, e.decodeModel(false)))
-	mux.Handle("POST /v1/chat/completions", e.server(e.model, e.decodeModel(true)))
-	mux.Handle("GET /v1/models", e.server(e.models, e.decodeBare))
-	mux.Handle("/services/{name}/{path...}", e.server(e.service, e.decodeService))
-	mux.HandleFunc("/", e.unknown)
-	return e.guard(mux)
+	mux.Handle("POST /v1/completions", s.newHandler(s.serveModel, s.decodeModel(false)))
+	mux.Handle("POST /v1/chat/completions", s.newHandler(s.serveModel, s.decodeModel(true)))
+	mux.Handle("GET /v1/models", s.newHandler(s.listModels, s.decodeNothing))
+	mux.Handle("/services/{name}/{path...}", s.newHandler(s.serveService, s.decodeService))
+	mux.HandleFunc("/", s.notFound)
+	return s.instrument(mux)
 }
 
-func (e *Edge) unknown(w http.ResponseWriter, r *http.Request) {
+func (s *Server) notFound(w http.ResponseWriter, r *http.Request) {
 	p := problem.New(problem.NotFound, "no such endpoint: "+r.Method+" "+r.URL.Path)
 	p.RequestID = w.Header().Get(target.HeaderRequestID)
 	p.Write(w)
 }
 
-// server joins an endpoint to HTTP. Every endpoint sits behind authentication.
-func (e *Edge) server(ep endpoint.Endpoint, dec kithttp.DecodeRequestFunc) http.Handler {
-	return kithttp.NewServer(e.authenticate(ep), dec, encode, kithttp.ServerErrorEncoder(encodeError),
-		kithttp.ServerErrorHandler(quiet{}), kithttp.ServerBefore(e.before))
+// newHandler serves an endpoint over HTTP. Every endpoint requires authentication.
+func (s *Server) newHandler(next endpoint.Endpoint, decode kithttp.DecodeRequestFunc) http.Handler {
+	return kithttp.NewServer(s.authenticate(next), decode, encode, kithttp.ServerErrorEncoder(encodeError),
+		kithttp.ServerErrorHandler(ignoreErrors{}), kithttp.ServerBefore(s.attachCall))
 }
 
-// quiet: failures are logged where they are decided, once.
-type quiet struct{}
+// ignoreErrors discards go-kit's errors: failures are already logged where they arise.
+type ignoreErrors struct{}
 
 // Handle implements go-kit's transport.ErrorHandler.
-func (quiet) Handle(context.Context, error) {}
+func (ignoreErrors) Handle(context.Context, error) {}
 
-// call is what every request carries through the endpoints.
+// call is the state of one request, carried in its context.
 type call struct {
 	id       string
 	key      string
@@ -87,21 +88,21 @@
 	bodyRead bool
 }
 
-type callKey struct{}
+type callContextKey struct{}
 
-func callOf(ctx context.Context) *call { return ctx.Value(callKey{}).(*call) }
+func callFrom(ctx context.Context) *call { return ctx.Value(callContextKey{}).(*call) }
 
-// before notes the request's identity, key and the view it is served under.
-func (e *Edge) before(ctx context.Context, r *http.Request) context.Context {
-	c := &call{id: r.Header.Get(target.HeaderRequestID), arrived: e.Now(), view: e.View.Load()}
+// attachCall stores the request's ID, its key and the current view in the context.
+func (s *Server) attachCall(ctx context.Context, r *http.Request) context.Context {
+	c := &call{id: r.Header.Get(target.HeaderRequestID), arrived: s.Now(), view: s.View.Load()}
 	c.key, _ = strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
-	return context.WithValue(ctx, callKey{}, c)
+	return context.WithValue(ctx, callContextKey{}, c)
 }
 
-// authenticate finds the customer, and only then decodes the body further.
-func (e *Edge) authenticate(next endpoint.Endpoint) endpoint.Endpoint {
+// authenticate calls next only for requests of a known customer.
+func (s *Server) authenticate(next endpoint.Endpoint) endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
-		c := callOf(ctx)
+		c := callFrom(ctx)
 		if err := c.authenticate(); err != nil {
 			return nil, err
 		}
@@ -109,6 +110,7 @@
 	}
 }
 
+// authenticate looks up the customer of the key. Repeated calls have no effect.
 func (c *call) authenticate() error {
 	if c.customer != nil {
 		return nil
@@ -127,38 +129,40 @@
 	return nil
 }
 
-// maxRequestID bounds an id that a caller gives.
-const maxRequestID = 128
+// maxCallerRequestID is the longest request ID of a caller, in bytes, that is echoed.
+const maxCallerRequestID = 128
 
-// guard stands around everything: it gives each request its id, counts those
-// in hand, and turns a panic into an honest failure.
-func (e *Edge) guard(next http.Handler) http.Handler {
+// instrument wraps all endpoints: it assigns request IDs, counts requests in
+// flight, and logs panics and closes the connection after them.
+func (s *Server) instrument(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		e.inHand.Add(1)
-		defer e.inHand.Add(-1)
-		// Ids are ours: a caller's own could repeat and cross two answers.
+		s.inFlight.Add(1)
+		defer s.inFlight.Add(-1)
+		// Request IDs are assigned here: an ID from the caller may repeat, and two
+		// responses could then be mixed up.
 		id := uuid.NewString()
-		if theirs := r.Header.Get(target.HeaderRequestID); theirs != "" && len(theirs) <= maxRequestID {
-			w.Header().Set("X-Caller-Request-Id", theirs)
+		if callerID := r.Header.Get(target.HeaderRequestID); callerID != "" && len(callerID) <= maxCallerRequestID {
+			w.Header().Set("X-Caller-Request-Id", callerID)
 		}
 		r.Header.Set(target.HeaderRequestID, id)
 		w.Header().Set(target.HeaderRequestID, id)
 		defer func() {
-			v := recover()
-			if v == nil {
+			recovered := recover()
+			if recovered == nil {
 				return
 			}
-			if err, ok := v.(error); !ok || !errors.Is(err, http.ErrAbortHandler) {
+			if err, ok := recovered.(error); !ok || !errors.Is(err, http.ErrAbortHandler) {
 				metric.Panics.Inc()
-				e.Log.WithField("request", id).WithField("panic", v).Error("panic in a request")
+				s.Log.WithField("request", id).WithField("panic", recovered).Error("panic in a request")
 			}
-			panic(http.ErrAbortHandler) // cut, so that no half answer looks whole
+			panic(http.ErrAbortHandler) // close the connection, so that a partial response can't pass for a complete one
 		}()
-		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), writerKey{}, w)))
+		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), responseWriterKey{}, w)))
 	})
 }
 
-// encodeError writes a failure. What is not a problem already is our fault.
+// encodeError writes a problem document. An error that is not a problem is
+// reported as an internal error after which the request may have run.
 func encodeError(ctx context.Context, err error, w http.ResponseWriter) {
 	var p *problem.Problem
 	if !errors.As(err, &p) {
@@ -167,14 +171,15 @@
 	}
 	out := *p
 	out.RequestID = w.Header().Get(target.HeaderRequestID)
-	if !callOf(ctx).bodyRead {
+	if !callFrom(ctx).bodyRead {
 		abandonBody(w)
 	}
 	out.Write(w)
 }
 
-// abandonBody gives up the rest of a request's body. Without it net/http would
-// wait for that rest before it sends the answer, as long as the sender likes.
+// abandonBody stops reading the request's body. Otherwise net/http reads the
+// rest of it before it sends the response, and a slow sender could delay that
+// without limit.
 func abandonBody(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 	_ = http.NewResponseController(w).SetReadDeadline(time.Unix(1, 0))
--- a/internal/caller/fuzz_test.go
+++ b/internal/caller/fuzz_test.go
@@ -8,8 +8,8 @@
 	"github.com/shedhoist/shedhoist/internal/target"
 )
 
-// FuzzParseModel: whatever a caller sends ends in a problem or in a request
-// whose engine body is JSON with our members as we set them.
+// FuzzParseModel checks that any body is either refused or yields an engine
+// request that is valid JSON and carries this process's own "shedhoist" member.
 func FuzzParseModel(f *testing.F) {
 	f.Add([]byte(`{"model":"m","prompt":"x","stream":true}`), false)
 	f.Add([]byte(`{"model":"m:a","messages":[{"role":"user","content":"x"}],"temperature":0.5}`), true)
@@ -22,7 +22,7 @@
 			return
 		}
 		var doc map[string]json.RawMessage
-		if err := json.Unmarshal([]byte(strings.Join(req.body(target.Extension{Version: "v", Salt: "s"}), "")), &doc); err != nil {
+		if err := json.Unmarshal([]byte(strings.Join(req.engineBody(target.Extension{Version: "v", Salt: "s"}), "")), &doc); err != nil {
 			t.Fatalf("engine body: %v", err)
 		}
 		var ext target.Extension
--- a/internal/caller/model.go
+++ b/internal/caller/model.go
@@ -19,57 +19,58 @@
 	"github.com/shedhoist/shedhoist/internal/target"
 )
 
-// modelRequest is a decoded model request.
+// modelRequest is a decoded completion or chat completion request.
 type modelRequest struct {
 	chat         bool
 	path         string
-	model        string // base model
+	model        string // base model, without the adapter
 	adapter      string
 	stream       bool
 	includeUsage bool
-	canonical    string
-	fields       []field // the caller's other members, in order, one each
+	canonical    string   // canonical prompt text, from which cache keys are computed
+	members      []member // the caller's other members, in order of first occurrence, without duplicates
 }
 
-// field is one top-level member of the caller's body, raw.
-type field struct{ name, raw string }
+// member is one top-level member of the caller's body; raw is its unparsed value.
+type member struct{ name, raw string }
 
-// ours are the members that the engine's request gets from us, never from the caller.
-var ours = map[string]bool{"stream": true, "stream_options": true, "shedhoist": true, "model": true}
+// reservedMembers are set by engineBody and never copied from the caller's body.
+var reservedMembers = map[string]bool{"stream": true, "stream_options": true, "shedhoist": true, "model": true}
 
-// prompts are the members that cache keys are made from.
-var prompts = map[string]bool{"prompt": true, "messages": true}
+// promptMembers are the members from which cache keys are computed.
+var promptMembers = map[string]bool{"prompt": true, "messages": true}
 
-// readBody reads the whole body within its bounds of size and time.
-func (e *Edge) readBody(ctx context.Context, r *http.Request) ([]byte, error) {
-	w, _ := ctx.Value(writerKey{}).(http.ResponseWriter)
-	limit := int64(e.Limits.BodyBytes)
+// readBody reads the whole body, within the limits on its size and duration.
+func (s *Server) readBody(ctx context.Context, r *http.Request) ([]byte, error) {
+	w, _ := ctx.Value(responseWriterKey{}).(http.ResponseWriter)
+	limit := int64(s.Limits.BodyBytes)
 	if r.ContentLength > limit {
 		return nil, problem.New(problem.TooLarge, "the body is larger than this instance takes")
 	}
 	if w != nil {
-		_ = http.NewResponseController(w).SetReadDeadline(e.Now().Add(time.Duration(e.Limits.BodySeconds) * time.Second))
+		_ = http.NewResponseController(w).SetReadDeadline(s.Now().Add(time.Duration(s.Limits.BodySeconds) * time.Second))
 	}
 	data, err := body.Read(http.MaxBytesReader(w, r.Body, limit), r.ContentLength)
 	if err != nil {
 		return nil, body.Problem(err)
 	}
-	callOf(ctx).bodyRead = true
+	callFrom(ctx).bodyRead = true
 	if w != nil {
 		_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 	}
 	return data, nil
 }
 
-type writerKey struct{}
+// responseWriterKey is the context key of the request's http.ResponseWriter.
+type responseWriterKey struct{}
 
-// decodeModel authenticates before it reads: a stranger's body is not read.
-func (e *Edge) decodeModel(chat bool) func(context.Context, *http.Request) (any, error) {
+// decodeModel authenticates first: the body of an unknown caller is not read.
+func (s *Server) decodeModel(chat bool) func(context.Context, *http.Request) (any, error) {
 	return func(ctx context.Context, r *http.Request) (any, error) {
-		if err := callOf(ctx).authenticate(); err != nil {
+		if err := callFrom(ctx).authenticate(); err != nil {
 			return nil, err
 		}
-		data, err := e.readBody(ctx, r)
+		data, err := s.readBody(ctx, r)
 		if err != nil {
 			return nil, err
 		}
@@ -77,90 +78,93 @@
 	}
 }
 
-func bad(detail string) error { return problem.New(problem.BadRequest, detail) }
+func badRequest(detail string) error { return problem.New(problem.BadRequest, detail) }
 
-// parseModel decodes a completion or chat request. Members that it does not
-// know go to the engine as they are; of a repeated member the last one counts.
+// parseModel decodes a completion or chat completion request. Unknown members
+// are passed to the engine unchanged; of a repeated member the last value counts.
 func parseModel(data []byte, chat bool) (*modelRequest, error) {
 	if !gjson.ValidBytes(data) {
-		return nil, bad("the body is not JSON")
+		return nil, badRequest("the body is not JSON")
 	}
-	root := gjson.ParseBytes(data) // the one copy: all members below are parts of it
+	root := gjson.ParseBytes(data) // the only copy of data: all members below are substrings of it
 	if !root.IsObject() {
-		return nil, bad("the body is not a JSON object")
+		return nil, badRequest("the body is not a JSON object")
 	}
-	out := &modelRequest{chat: chat, path: "/v1/completions"}
+	req := &modelRequest{chat: chat, path: "/v1/completions"}
 	if chat {
-		out.path = "/v1/chat/completions"
+		req.path = "/v1/chat/completions"
 	}
-	known := map[string]gjson.Result{}
+	values := map[string]gjson.Result{}
 	var err error
 	root.ForEach(func(k, v gjson.Result) bool {
-		if lower := strings.ToLower(k.Str); lower != k.Str && (ours[lower] || prompts[lower]) {
-			// Some JSON decoders take "Prompt" for "prompt": the engine could
-			// then run another prompt than the one whose cache keys it gets.
-			err = bad(k.Str + ": is spelled " + lower)
+		if lower := strings.ToLower(k.Str); lower != k.Str && (reservedMembers[lower] || promptMembers[lower]) {
+			// Some JSON decoders match names case-insensitively and read "Prompt"
+			// as "prompt": the engine could then run a different prompt than the
+			// one from which the cache keys were computed.
+			err = badRequest(k.Str + ": is spelled " + lower)
 			return false
 		}
-		if _, again := known[k.Str]; !again && !ours[k.Str] {
-			out.fields = append(out.fields, field{name: k.Str})
+		if _, repeated := values[k.Str]; !repeated && !reservedMembers[k.Str] {
+			req.members = append(req.members, member{name: k.Str})
 		}
-		known[k.Str] = v
+		values[k.Str] = v
 		return true
 	})
 	if err != nil {
 		return nil, err
 	}
-	for i := range out.fields {
-		out.fields[i].raw = known[out.fields[i].name].Raw
+	for i := range req.members {
+		req.members[i].raw = values[req.members[i].name].Raw
 	}
-	return out, out.read(known)
+	return req, req.parseMembers(values)
 }
 
-func (m *modelRequest) read(known map[string]gjson.Result) error {
-	if known["model"].Type != gjson.String || known["model"].Str == "" {
-		return bad("model: a string is needed")
+// parseMembers validates the members that this process interprets and stores them.
+func (m *modelRequest) parseMembers(values map[string]gjson.Result) error {
+	if values["model"].Type != gjson.String || values["model"].Str == "" {
+		return badRequest("model: a string is needed")
 	}
-	m.model, m.adapter, _ = strings.Cut(known["model"].Str, ":")
-	if s := known["stream"]; s.Exists() && !s.IsBool() {
-		return bad("stream: a boolean is needed")
+	m.model, m.adapter, _ = strings.Cut(values["model"].Str, ":")
+	if s := values["stream"]; s.Exists() && !s.IsBool() {
+		return badRequest("stream: a boolean is needed")
 	}
-	m.stream = known["stream"].Bool()
-	m.includeUsage = known["stream_options"].Get("include_usage").Bool()
-	if n := known["n"]; n.Exists() && n.Int() != 1 {
-		return bad("n: only 1 is served")
+	m.stream = values["stream"].Bool()
+	m.includeUsage = values["stream_options"].Get("include_usage").Bool()
+	if n := values["n"]; n.Exists() && n.Int() != 1 {
+		return badRequest("n: only 1 is served")
 	}
 	if m.chat {
-		return m.readMessages(known["messages"])
+		return m.parseMessages(values["messages"])
 	}
-	if known["prompt"].Type != gjson.String {
-		return bad("prompt: one string is needed")
+	if values["prompt"].Type != gjson.String {
+		return badRequest("prompt: one string is needed")
 	}
-	m.canonical = known["prompt"].Str
+	m.canonical = values["prompt"].Str
 	return nil
 }
 
-func (m *modelRequest) readMessages(list gjson.Result) error {
+func (m *modelRequest) parseMessages(list gjson.Result) error {
 	if !list.IsArray() {
-		return bad("messages: an array is needed")
+		return badRequest("messages: an array is needed")
 	}
 	var msgs []prefix.Message
 	for _, v := range list.Array() {
-		content, ok := contentOf(v.Get("content"))
+		content, ok := messageText(v.Get("content"))
 		if !ok || v.Get("role").Type != gjson.String {
-			return bad("messages: each needs a role and text content")
+			return badRequest("messages: each needs a role and text content")
 		}
 		msgs = append(msgs, prefix.Message{Role: v.Get("role").Str, Content: content})
 	}
 	if len(msgs) == 0 {
-		return bad("messages: at least one is needed")
+		return badRequest("messages: at least one is needed")
 	}
 	m.canonical = prefix.Canonical(msgs)
 	return nil
 }
 
-// contentOf takes a string, or an array of text parts as OpenAI clients send.
-func contentOf(v gjson.Result) (string, bool) {
+// messageText returns a message's content, which is a string or, as some OpenAI
+// clients send it, an array of text parts.
+func messageText(v gjson.Result) (string, bool) {
 	if v.Type == gjson.String {
 		return v.Str, true
 	}
@@ -177,19 +181,20 @@
 	return b.String(), true
 }
 
-// body builds the engine's request: the caller's members, then ours. The
-// engine always streams, so that a cut answer can go on elsewhere.
-func (m *modelRequest) body(ext target.Extension) target.Body {
+// engineBody builds the engine's request from the caller's members and the
+// reserved ones. The engine always streams, so that an interrupted response can
+// be resumed on another target.
+func (m *modelRequest) engineBody(ext target.Extension) target.Body {
 	extension, err := json.Marshal(ext)
 	if err != nil {
 		panic(err) // only unsupported types fail, and Extension has none
 	}
-	out := make(target.Body, 0, 2*len(m.fields)+2)
-	out = append(out, `{"model":`+string(quoteJSON(m.model)))
-	for _, f := range m.fields {
-		out = append(out, ","+string(quoteJSON(f.name))+":", f.raw)
+	parts := make(target.Body, 0, 2*len(m.members)+2)
+	parts = append(parts, `{"model":`+string(quoteJSON(m.model)))
+	for _, f := range m.members {
+		parts = append(parts, ","+string(quoteJSON(f.name))+":", f.raw)
 	}
-	return append(out, `,"stream":true,"stream_options":{"include_usage":true},"shedhoist":`+string(extension)+"}")
+	return append(parts, `,"stream":true,"stream_options":{"include_usage":true},"shedhoist":`+string(extension)+"}")
 }
 
 func quoteJSON(s string) []byte {
@@ -200,9 +205,9 @@
 	return data
 }
 
-// model is the endpoint of both model paths.
-func (e *Edge) model(ctx context.Context, request any) (any, error) {
-	req, c := request.(*modelRequest), callOf(ctx)
+// serveModel is the endpoint for completions and chat completions.
+func (s *Server) serveModel(ctx context.Context, request any) (any, error) {
+	req, c := request.(*modelRequest), callFrom(ctx)
 	if !c.customer.MayUseModel(req.model) {
 		return nil, problem.New(problem.UnknownModel, "no model "+strconv.Quote(req.model))
 	}
@@ -210,74 +215,74 @@
 	if req.adapter != "" && !hasAdapter(m.Adapters, req.adapter) {
 		return nil, problem.New(problem.UnknownModel, "model "+m.Name+" has no adapter "+strconv.Quote(req.adapter))
 	}
-	tokens := prefix.EstimateTokens(len(req.canonical))
-	if m.MaxPromptTokens > 0 && tokens > m.MaxPromptTokens {
+	promptTokens := prefix.EstimateTokens(len(req.canonical))
+	if m.MaxPromptTokens > 0 && promptTokens > m.MaxPromptTokens {
 		return nil, problem.New(problem.TooLarge, "the prompt is longer than the model takes")
 	}
-	if err := e.stopsFirst(ctx, "model", dispatch.Deadline(m, c.arrived)); err != nil {
+	if err := s.refuseIfStopping(ctx, "model", dispatch.Deadline(m, c.arrived)); err != nil {
 		return nil, err
 	}
-	release, err := e.Admit.Admit(c.customer, tokens, c.view.Instances)
+	release, err := s.Admission.Admit(c.customer, promptTokens, c.view.Instances)
 	if err != nil {
 		return nil, err
 	}
-	live, err := e.Dispatch.Start(ctx, &dispatch.Request{ID: c.id, Customer: c.customer, View: c.view, Model: m, Adapter: req.adapter,
-		Path: req.path, Canonical: req.canonical, Arrived: c.arrived, Body: req.body})
+	run, err := s.Dispatch.Start(ctx, &dispatch.Request{ID: c.id, Customer: c.customer, View: c.view, Model: m, Adapter: req.adapter,
+		Path: req.path, Canonical: req.canonical, Arrived: c.arrived, Body: req.engineBody})
 	if err != nil {
 		release(0)
 		return nil, err
 	}
-	a := &answer{live: live, req: req, id: c.id, created: c.arrived, release: release}
+	resp := &modelResponse{run: run, req: req, id: c.id, created: c.arrived, release: release}
 	if req.stream {
-		return (*streamed)(a), nil
+		return (*streamedResponse)(resp), nil
 	}
-	defer a.close()
-	return a.whole()
+	defer resp.close()
+	return resp.collect()
 }
 
-// answer is a run on its way to the caller.
-type answer struct {
-	live    *dispatch.Run
+// modelResponse is a run whose output is sent to the caller.
+type modelResponse struct {
+	run     *dispatch.Run
 	req     *modelRequest
 	id      string
 	created time.Time
 	release func(int)
 }
 
-func (a *answer) close() {
-	a.live.Close()
-	a.release(a.live.Usage().CompletionTokens)
+func (a *modelResponse) close() {
+	a.run.Close()
+	a.release(a.run.Usage().CompletionTokens)
 }
 
-// wholeBody is a completion that is not streamed (OpenAI API reference).
-type wholeBody struct {
-	ID      string       `json:"id"`
-	Object  string       `json:"object"`
-	Created int64        `json:"created"`
-	Model   string       `json:"model"`
-	Choices []wholeItem  `json:"choices"`
-	Usage   target.Usage `json:"usage"`
+// completion is a response that is not streamed (OpenAI API reference).
+type completion struct {
+	ID      string             `json:"id"`
+	Object  string             `json:"object"`
+	Created int64              `json:"created"`
+	Model   string             `json:"model"`
+	Choices []completionChoice `json:"choices"`
+	Usage   target.Usage       `json:"usage"`
 }
 
-type wholeItem struct {
-	Index   int           `json:"index"`
-	Text    *string       `json:"text,omitempty"`
-	Message *wholeMessage `json:"message,omitempty"`
-	Finish  string        `json:"finish_reason"`
+type completionChoice struct {
+	Index   int                `json:"index"`
+	Text    *string            `json:"text,omitempty"`
+	Message *completionMessage `json:"message,omitempty"`
+	Finish  string             `json:"finish_reason"`
 }
 
-type wholeMessage struct {
+type completionMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// whole gathers the answer; a run that fails on the way gives its problem, and
-// not one byte of it reaches the caller.
-func (a *answer) whole() (any, error) {
+// collect reads the whole output of the run. If the run fails midway, it returns
+// the problem, and no part of the output is sent to the caller.
+func (a *modelResponse) collect() (any, error) {
 	var text strings.Builder
 	finish := ""
 	for {
-		c, err := a.live.Next()
+		c, err := a.run.Next()
 		if errors.Is(err, io.EOF) {
 			break
 		}
@@ -289,41 +294,42 @@
 			finish = c.FinishReason
 		}
 	}
-	out := &wholeBody{ID: a.id, Object: "text_completion", Created: a.created.Unix(), Model: a.req.model, Usage: a.live.Usage()}
-	item, s := wholeItem{Finish: finish}, text.String()
+	out := &completion{ID: a.id, Object: "text_completion", Created: a.created.Unix(), Model: a.req.model, Usage: a.run.Usage()}
+	choice, content := completionChoice{Finish: finish}, text.String()
 	if a.req.chat {
 		out.Object = "chat.completion"
-		item.Message = &wholeMessage{Role: "assistant", Content: s}
+		choice.Message = &completionMessage{Role: "assistant", Content: content}
 	} else {
-		item.Text = &s
+		choice.Text = &content
 	}
-	out.Choices = []wholeItem{item}
+	out.Choices = []completionChoice{choice}
 	return out, nil
 }
 
-// streamed is an answer that is passed on event by event.
-type streamed answer
+// streamedResponse is a response that is relayed event by event.
+type streamedResponse modelResponse
 
-// write relays the stream. The terminator is sent only behind a whole answer;
-// a failure on the way becomes an error event and a cut connection.
-func (s *streamed) write(w http.ResponseWriter) {
-	a := (*answer)(s)
+// relay sends the stream to the caller. The terminator is sent only after a
+// complete response; after a failure midway it sends an error event and aborts
+// the connection.
+func (s *streamedResponse) relay(w http.ResponseWriter) {
+	a := (*modelResponse)(s)
 	defer a.close()
 	h := w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-store")
 	w.WriteHeader(http.StatusOK)
-	flush := http.NewResponseController(w)
+	controller := http.NewResponseController(w)
 	buf := make([]byte, 0, 512)
 	for {
-		c, err := a.live.Next()
+		c, err := a.run.Next()
 		if errors.Is(err, io.EOF) {
 			_, _ = w.Write([]byte("data: [DONE]\n\n"))
 			return
 		}
 		if err != nil {
 			writeStreamError(w, err)
-			_ = flush.Flush()
+			_ = controller.Flush()
 			panic(http.ErrAbortHandler)
 		}
 		if c.Usage != nil && !a.req.includeUsage {
@@ -331,9 +337,9 @@
 		}
 		buf = append(append(append(buf[:0], "data: "...), c.Data...), "\n\n"...)
 		if _, err := w.Write(buf); err != nil {
-			return // the caller is gone: close cancels the run
+			return // the caller disconnected: close cancels the run
 		}
-		_ = flush.Flush()
+		_ = controller.Flush()
 	}
 }
 
--- a/internal/caller/stop.go
+++ b/internal/caller/stop.go
@@ -10,24 +10,25 @@
 	"github.com/shedhoist/shedhoist/internal/problem"
 )
 
-// stopRetry is when a caller may come back, elsewhere, after a refusal by a stop.
-const stopRetry = time.Second
+// stopRetryAfter is the Retry-After of a request refused because of a stop; the
+// retry is meant to reach another instance.
+const stopRetryAfter = time.Second
 
-// Stops has the edge refuse what a stop with these times could cut.
-func (e *Edge) Stops(t *drain.Schedule) { e.stop.Store(t) }
+// SetStopSchedule makes the server refuse requests that a stop with this schedule could abort.
+func (s *Server) SetStopSchedule(schedule *drain.Schedule) { s.stopSchedule.Store(schedule) }
 
-// stopsFirst refuses a request that a stop could cut.
-func (e *Edge) stopsFirst(ctx context.Context, kind string, deadline time.Time) error {
-	if !e.stop.Load().WouldAbort(e.Now(), deadline) {
+// refuseIfStopping refuses a request that could still run when the stop aborts connections.
+func (s *Server) refuseIfStopping(ctx context.Context, kind string, deadline time.Time) error {
+	if !s.stopSchedule.Load().WouldAbort(s.Now(), deadline) {
 		return nil
 	}
-	if w, ok := ctx.Value(writerKey{}).(http.ResponseWriter); ok {
-		w.Header().Set("Connection", "close") // the request may have begun to come before the stop
+	if w, ok := ctx.Value(responseWriterKey{}).(http.ResponseWriter); ok {
+		w.Header().Set("Connection", "close") // the request may have begun to arrive before the stop
 	}
-	c := callOf(ctx)
+	c := callFrom(ctx)
 	metric.Requests(kind, string(problem.Draining)).Inc()
-	e.Log.WithField("request", c.id).WithField("customer", c.customer.Name).Info("refused: the stop could cut it")
+	s.Log.WithField("request", c.id).WithField("customer", c.customer.Name).Info("refused: the stop could abort it")
 	p := problem.New(problem.Draining, "this instance stops before the request may end")
-	p.RetryAfter = stopRetry
+	p.RetryAfter = stopRetryAfter
 	return p
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -59,7 +59,7 @@
 	whys     *explain.Log
 	engines  *target.Client
 	dispatch *dispatch.Dispatcher
-	callers  *caller.Edge
+	callers  *caller.Server
 	admit    *admission
 	ledger   *ledger.Ledger
 	pool     *peer.Pool
@@ -95,7 +95,7 @@
 		Stores: kvstore.NewClient(settings.Duration(set.Timing.ConnectMS)), Hints: d.hints, Explain: d.whys, Log: d.log, Now: d.now,
 		Ledger: keeper{d}, StreamIdleTimeout: stallTimeout, MaxResponseBytes: int64(set.Limits.AnswerBytes)}
 	d.dispatch.Init(d.ctx)
-	d.callers = &caller.Edge{View: &d.view, Dispatch: d.dispatch, Admit: d.admit, Limits: set.Limits, Log: d.log, Now: d.now}
+	d.callers = &caller.Server{View: &d.view, Dispatch: d.dispatch, Admission: d.admit, Limits: set.Limits, Log: d.log, Now: d.now}
 	if err := d.listen(); err != nil {
 		d.closeListeners()
 		d.stop()
@@ -252,17 +252,17 @@
 func (d *Daemon) Shutdown(ctx context.Context) error {
 	notice, hold := settings.Duration(d.set.Timing.DrainNoticeMS), settings.Duration(d.set.Timing.DrainMS)
 	noticed := d.now().Add(notice)
-	d.callers.Stops(&drain.Schedule{AcceptUntil: noticed, AbortAt: noticed.Add(hold)})
+	d.callers.SetStopSchedule(&drain.Schedule{AcceptUntil: noticed, AbortAt: noticed.Add(hold)})
 	d.query(func(c *control) {
 		c.draining = true
 		d.view.Store(c.view(d.set.Name))
 	})
-	d.log.WithField("in_hand", d.callers.InHand()).Info("draining")
+	d.log.WithField("in_hand", d.callers.InFlight()).Info("draining")
 	wait.For(ctx, notice)
 	dctx, cancel := context.WithTimeout(ctx, hold)
 	defer cancel()
 	err := drain.Stop(dctx, d.callerSrv, d.callerLn, &d.callerConns, linger)
-	cut := d.callers.InHand()
+	cut := d.callers.InFlight()
 	if err != nil {
 		d.callerSrv.Close()
 	}
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -181,5 +181,5 @@
 func (d *Daemon) Status() peer.Status {
 	v := d.view.Load()
 	return peer.Status{Name: d.set.Name, Zone: d.set.Zone, Generation: d.generation(), Ready: d.Ready(), Draining: v.Draining,
-		InFlight: d.callers.InHand(), PlatformOK: d.platformOK.Load(), Version: version.String}
+		InFlight: d.callers.InFlight(), PlatformOK: d.platformOK.Load(), Version: version.String}
 }
