--- a/internal/tool/change.go
+++ b/internal/tool/change.go
@@ -14,34 +14,34 @@
 
 func (o *options) rollbackCmd() *cobra.Command {
 	var f applyFlags
-	cmd := &cobra.Command{Use: "rollback GENERATION", Short: "Accept a new generation with an old one's content",
-		Long:    "Accept a new generation with an old one's content. Generations only rise; drains stay as they are.",
+	cmd := &cobra.Command{Use: "rollback GENERATION", Short: "Create a new generation with the content of an old one",
+		Long:    "Create a new generation with the content of an old one. Generation numbers only increase; drains are unchanged.",
 		Example: "  shedhoist rollback 11 -m 'v8 answers badly' --wait", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			generation, err := strconv.ParseUint(args[0], 10, 64)
 			if err != nil {
-				return &UsageError{Reason: "GENERATION is a number, not " + strconv.Quote(args[0])}
+				return &UsageError{Reason: "GENERATION must be a number, not " + strconv.Quote(args[0])}
 			}
 			return o.rollback(cmd.Context(), generation, f)
 		}}
 	cmd.Flags().StringVarP(&f.message, "message", "m", "", "why")
 	cmd.Flags().BoolVar(&f.wait, "wait", false, "wait until it is in force everywhere")
-	cmd.Flags().DurationVar(&f.forTime, "wait-for", 30*time.Second, "how long --wait waits")
+	cmd.Flags().DurationVar(&f.waitTimeout, "wait-for", 30*time.Second, "timeout of --wait")
 	return cmd
 }
 
 func (o *options) rollback(ctx context.Context, generation uint64, f applyFlags) error {
-	r, err := o.repo()
+	r, err := o.openRepo()
 	if err != nil {
 		return err
 	}
-	actx, cancel := context.WithTimeout(ctx, o.timeout)
+	callCtx, cancel := context.WithTimeout(ctx, o.timeout)
 	defer cancel()
-	old, err := headAt(actx, r, generation)
+	old, err := headAt(callCtx, r, generation)
 	if err != nil {
 		return err
 	}
-	now, _, err := r.Head(actx)
+	current, _, err := r.Head(callCtx)
 	if err != nil {
 		return err
 	}
@@ -49,60 +49,60 @@
 	if f.message != "" {
 		msg += ": " + f.message
 	}
-	h, err := r.Accept(actx, config.Change{Base: now.Generation, Buckets: old.Buckets, Drained: now.Drained, Author: author(), Message: msg})
+	h, err := r.Accept(callCtx, config.Change{Base: current.Generation, Buckets: old.Buckets, Drained: current.Drained, Author: changeAuthor(), Message: msg})
 	if err != nil {
 		return err
 	}
-	return o.accepted(ctx, h, f.wait, f.forTime)
+	return o.reportAccepted(ctx, h, f.wait, f.waitTimeout)
 }
 
 func (o *options) drainCmd() *cobra.Command {
 	var undo, instance bool
 	var f applyFlags
-	cmd := &cobra.Command{Use: "drain NAME", Short: "Keep new work from a target, store, service instance or entry instance",
-		Long: `Keep new work from a target, store, service instance or entry instance.
+	cmd := &cobra.Command{Use: "drain NAME", Short: "Send no new work to a target, store, service instance or entry instance",
+		Long: `Send no new work to a target, store, service instance or entry instance.
 
-What runs there goes on to its end. A drain is part of the generation in force,
-beside the files: apply and rollback leave it as it is; drain --undo ends it.`,
+Work in progress there is completed. A drain is part of the generation in force
+but not of the files: apply and rollback leave it unchanged; drain --undo ends it.`,
 		Example: "  shedhoist drain engine-4 --wait\n  shedhoist drain engine-4 --undo\n  shedhoist drain --instance entry-2", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return o.drain(cmd.Context(), args[0], undo, instance, f)
 		}}
-	cmd.Flags().BoolVar(&undo, "undo", false, "let new work in again")
+	cmd.Flags().BoolVar(&undo, "undo", false, "end the drain")
 	cmd.Flags().BoolVar(&instance, "instance", false, "NAME is an entry instance, which the configuration does not list")
 	cmd.Flags().BoolVar(&f.wait, "wait", false, "wait until it is in force everywhere")
-	cmd.Flags().DurationVar(&f.forTime, "wait-for", 30*time.Second, "how long --wait waits")
+	cmd.Flags().DurationVar(&f.waitTimeout, "wait-for", 30*time.Second, "timeout of --wait")
 	return cmd
 }
 
 func (o *options) drain(ctx context.Context, name string, undo, instance bool, f applyFlags) error {
-	r, err := o.repo()
+	r, err := o.openRepo()
 	if err != nil {
 		return err
 	}
-	actx, cancel := context.WithTimeout(ctx, o.timeout)
+	callCtx, cancel := context.WithTimeout(ctx, o.timeout)
 	defer cancel()
-	now, b, err := inForce(actx, r)
+	current, b, err := currentBundle(callCtx, r)
 	if err != nil {
 		return err
 	}
-	was := slices.Contains(now.Drained, name)
+	wasDrained := slices.Contains(current.Drained, name)
 	switch {
-	case !undo && was, undo && !was:
-		return &UsageError{Reason: fmt.Sprintf("%s: drained is already %v", name, was)}
+	case !undo && wasDrained, undo && !wasDrained:
+		return &UsageError{Reason: fmt.Sprintf("%s: drained is already %v", name, wasDrained)}
 	case !undo && !instance && !b.Has(name):
 		return &UsageError{Reason: "no target, store or service instance " + strconv.Quote(name) + " (use --instance for an entry instance)"}
 	}
-	drained, what := slices.Clone(now.Drained), "drain "
+	drained, action := slices.Clone(current.Drained), "drain "
 	if undo {
-		drained, what = slices.DeleteFunc(drained, func(s string) bool { return s == name }), "undrain "
+		drained, action = slices.DeleteFunc(drained, func(s string) bool { return s == name }), "undrain "
 	} else {
 		drained = append(drained, name)
 		slices.Sort(drained)
 	}
-	h, err := r.Accept(actx, config.Change{Base: now.Generation, Buckets: now.Buckets, Drained: drained, Author: author(), Message: what + name})
+	h, err := r.Accept(callCtx, config.Change{Base: current.Generation, Buckets: current.Buckets, Drained: drained, Author: changeAuthor(), Message: action + name})
 	if err != nil {
 		return err
 	}
-	return o.accepted(ctx, h, f.wait, f.forTime)
+	return o.reportAccepted(ctx, h, f.wait, f.waitTimeout)
 }
--- a/internal/tool/config.go
+++ b/internal/tool/config.go
@@ -21,9 +21,9 @@
 	"github.com/shedhoist/shedhoist/internal/operator"
 )
 
-// baseFile keeps, beside the TOML files, the generation that they were made
-// from, so that an apply can't undo another operator's change unseen.
-const baseFile = ".shedhoist-generation"
+// baseGenerationFile stores, next to the TOML files, the generation on which they
+// are based, so that apply can't silently undo another operator's change.
+const baseGenerationFile = ".shedhoist-generation"
 
 func (o *options) validateCmd() *cobra.Command {
 	return &cobra.Command{Use: "validate DIR", Short: "Check a directory of configuration", Example: "  shedhoist validate conf/", Args: cobra.ExactArgs(1),
@@ -32,20 +32,20 @@
 			if err != nil {
 				return err
 			}
-			return o.show(counts(b), func(w io.Writer) {
+			return o.print(objectCounts(b), func(w io.Writer) {
 				fmt.Fprintf(w, "valid: %d customers, %d models, %d targets, %d services, %d stores, %d operators\n",
 					len(b.Customers), len(b.Models), len(b.Targets), len(b.Services), len(b.Stores), len(b.Operators))
 			})
 		}}
 }
 
-func counts(b *config.Bundle) map[string]int {
+func objectCounts(b *config.Bundle) map[string]int {
 	return map[string]int{"customers": len(b.Customers), "models": len(b.Models), "targets": len(b.Targets),
 		"services": len(b.Services), "stores": len(b.Stores), "operators": len(b.Operators)}
 }
 
-// inForce returns the head and its bundle; an empty bundle before the first apply.
-func inForce(ctx context.Context, r *config.Repo) (config.Head, *config.Bundle, error) {
+// currentBundle returns the head and its bundle, which is empty before the first apply.
+func currentBundle(ctx context.Context, r *config.Repo) (config.Head, *config.Bundle, error) {
 	h, _, err := r.Head(ctx)
 	if err != nil {
 		return h, nil, err
@@ -55,7 +55,7 @@
 }
 
 func (o *options) diffCmd() *cobra.Command {
-	var exit bool
+	var useExitCode bool
 	cmd := &cobra.Command{Use: "diff DIR", Short: "Show what applying a directory would change", Example: "  shedhoist diff conf/", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			ctx, cancel := context.WithTimeout(cmd.Context(), o.timeout)
@@ -64,11 +64,11 @@
 			if err != nil {
 				return err
 			}
-			r, err := o.repo()
+			r, err := o.openRepo()
 			if err != nil {
 				return err
 			}
-			_, old, err := inForce(ctx, r)
+			_, old, err := currentBundle(ctx, r)
 			if err != nil {
 				return err
 			}
@@ -76,23 +76,23 @@
 			if err != nil {
 				return err
 			}
-			if err := o.showEdits(edits); err != nil {
+			if err := o.printEdits(edits); err != nil {
 				return err
 			}
-			if exit && len(edits) > 0 {
-				return &DifferError{Edits: len(edits)}
+			if useExitCode && len(edits) > 0 {
+				return &DifferencesError{Edits: len(edits)}
 			}
 			return nil
 		}}
-	cmd.Flags().BoolVar(&exit, "exit-code", false, "exit with 7 if there are differences")
+	cmd.Flags().BoolVar(&useExitCode, "exit-code", false, "exit with 7 if there are differences")
 	return cmd
 }
 
-func (o *options) showEdits(edits []config.Edit) error {
+func (o *options) printEdits(edits []config.Edit) error {
 	if edits == nil {
 		edits = []config.Edit{}
 	}
-	return o.show(edits, func(w io.Writer) {
+	return o.print(edits, func(w io.Writer) {
 		if len(edits) == 0 {
 			fmt.Fprintln(w, "no differences")
 		}
@@ -103,30 +103,31 @@
 }
 
 type applyFlags struct {
-	message string
-	base    uint64
-	baseSet bool
-	wait    bool
-	forTime time.Duration
+	message     string
+	base        uint64
+	baseSet     bool
+	wait        bool
+	waitTimeout time.Duration
 }
 
 func (o *options) applyCmd() *cobra.Command {
 	var f applyFlags
-	cmd := &cobra.Command{Use: "apply DIR", Short: "Put a directory in force, whole or not at all",
-		Long: `Put a directory in force, whole or not at all.
+	cmd := &cobra.Command{Use: "apply DIR", Short: "Apply a directory of configuration atomically",
+		Long: `Apply a directory of configuration atomically.
 
-The change is accepted only if the generation in force is the one that the
-directory was made from: --base, else what init, get or the last apply noted in
-DIR/` + baseFile + `. Otherwise it is a conflict, which names both changes.`,
+The change is accepted only if the directory is based on the generation in
+force. Its base is --base, or else the generation that get or the last apply
+stored in DIR/` + baseGenerationFile + ` (0 without that file). Otherwise apply
+reports a conflict and both changes.`,
 		Example: "  shedhoist apply conf/ -m 'add clinic-7' --wait", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			f.baseSet = cmd.Flags().Changed("base")
 			return o.apply(cmd.Context(), args[0], f)
 		}}
-	cmd.Flags().StringVarP(&f.message, "message", "m", "", "what the change is for")
-	cmd.Flags().Uint64Var(&f.base, "base", 0, "generation that the directory was made from")
+	cmd.Flags().StringVarP(&f.message, "message", "m", "", "description of the change")
+	cmd.Flags().Uint64Var(&f.base, "base", 0, "generation on which the directory is based")
 	cmd.Flags().BoolVar(&f.wait, "wait", false, "wait until it is in force everywhere (needs --daemon and --key)")
-	cmd.Flags().DurationVar(&f.forTime, "wait-for", 30*time.Second, "how long --wait waits")
+	cmd.Flags().DurationVar(&f.waitTimeout, "wait-for", 30*time.Second, "timeout of --wait")
 	return cmd
 }
 
@@ -135,13 +136,13 @@
 	if err != nil {
 		return err
 	}
-	r, err := o.repo()
+	r, err := o.openRepo()
 	if err != nil {
 		return err
 	}
 	base := f.base
 	if !f.baseSet {
-		if base, err = readBase(dir); err != nil {
+		if base, err = readBaseGeneration(dir); err != nil {
 			return err
 		}
 	}
@@ -149,83 +150,83 @@
 	if err != nil {
 		return err
 	}
-	actx, cancel := context.WithTimeout(ctx, o.timeout)
+	callCtx, cancel := context.WithTimeout(ctx, o.timeout)
 	defer cancel()
-	old, _, err := r.Head(actx)
+	old, _, err := r.Head(callCtx)
 	if err != nil {
 		return err
 	}
-	if base, err = pastDrains(actx, r, base, old); err != nil {
+	if base, err = rebaseOverDrains(callCtx, r, base, old); err != nil {
 		return err
 	}
-	if base, err = pastDrains(actx, r, base, old); err != nil {
+	if base, err = rebaseOverDrains(callCtx, r, base, old); err != nil {
 		return err
 	}
-	h, err := r.Accept(actx, config.Change{Base: base, Parts: parts, Drained: old.Drained, Author: author(), Message: f.message})
+	h, err := r.Accept(callCtx, config.Change{Base: base, Parts: parts, Drained: old.Drained, Author: changeAuthor(), Message: f.message})
 	if err != nil {
-		return o.explainRace(ctx, r, err, b)
+		return o.explainConflict(ctx, r, err, b)
 	}
-	if err := writeBase(dir, h.Generation); err != nil {
+	if err := writeBaseGeneration(dir, h.Generation); err != nil {
 		return err
 	}
-	return o.accepted(ctx, h, f.wait, f.forTime)
+	return o.reportAccepted(ctx, h, f.wait, f.waitTimeout)
 }
 
-// pastDrains moves a base up to the head if only drains were accepted since: they
-// stand beside the files, so an edit of these conflicts with none of them.
-func pastDrains(ctx context.Context, r *config.Repo, base uint64, head config.Head) (uint64, error) {
+// rebaseOverDrains returns the head's generation if only drains were accepted since
+// the base. Drains are not part of the files, so they don't conflict with edits of them.
+func rebaseOverDrains(ctx context.Context, r *config.Repo, base uint64, head config.Head) (uint64, error) {
 	if base == 0 || base >= head.Generation {
 		return base, nil
 	}
-	was, err := headAt(ctx, r, base)
+	baseHead, err := headAt(ctx, r, base)
 	if err != nil {
 		return 0, err
 	}
-	if maps.Equal(was.Buckets, head.Buckets) {
+	if maps.Equal(baseHead.Buckets, head.Buckets) {
 		return head.Generation, nil
 	}
 	return base, nil
 }
 
-// accepted reports an accepted generation and waits for it if asked to.
-func (o *options) accepted(ctx context.Context, h config.Head, wait bool, forTime time.Duration) error {
+// reportAccepted prints an accepted generation, after waiting until it is in force if wait is set.
+func (o *options) reportAccepted(ctx context.Context, h config.Head, wait bool, timeout time.Duration) error {
 	if wait {
-		if err := o.waitInForce(ctx, h.Generation, forTime); err != nil {
+		if err := o.waitInForce(ctx, h.Generation, timeout); err != nil {
 			return err
 		}
 	}
-	return o.show(h, func(w io.Writer) { fmt.Fprintf(w, "generation %d accepted\n", h.Generation) })
+	return o.print(h, func(w io.Writer) { fmt.Fprintf(w, "generation %d accepted\n", h.Generation) })
 }
 
-// explainRace adds what each side of a conflict changed.
-func (o *options) explainRace(ctx context.Context, r *config.Repo, err error, mine *config.Bundle) error {
-	var race *config.RaceError
-	if !errors.As(err, &race) {
+// explainConflict prints the changes of both sides if err is a conflict. It returns err.
+func (o *options) explainConflict(ctx context.Context, r *config.Repo, err error, mine *config.Bundle) error {
+	var conflict *config.RaceError
+	if !errors.As(err, &conflict) {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, o.timeout)
 	defer cancel()
-	base, berr := bundleAt(ctx, r, race.Base)
-	theirs, terr := r.Bundle(ctx, race.Winner)
-	if berr != nil || terr != nil {
+	base, baseErr := bundleAt(ctx, r, conflict.Base)
+	theirs, theirErr := r.Bundle(ctx, conflict.Winner)
+	if baseErr != nil || theirErr != nil {
 		return err
 	}
 	list := func(title string, b *config.Bundle) {
-		edits, derr := config.Diff(base, b)
-		if derr != nil {
+		edits, diffErr := config.Diff(base, b)
+		if diffErr != nil {
 			return
 		}
-		fmt.Fprintf(o.err, "%s, since generation %d:\n", title, race.Base)
+		fmt.Fprintf(o.err, "%s, since generation %d:\n", title, conflict.Base)
 		for _, e := range edits {
 			fmt.Fprintln(o.err, "  "+e.String())
 		}
 	}
-	list(fmt.Sprintf("accepted by generation %d", race.Winner.Generation), theirs)
+	list(fmt.Sprintf("accepted by generation %d", conflict.Winner.Generation), theirs)
 	list("yours, not in force", mine)
 	return err
 }
 
-// bundleAt returns the bundle of a generation; an empty one for 0.
+// bundleAt returns the bundle of a generation, which is empty for generation 0.
 func bundleAt(ctx context.Context, r *config.Repo, generation uint64) (*config.Bundle, error) {
 	if generation == 0 {
 		return &config.Bundle{}, nil
@@ -237,24 +238,25 @@
 	return r.Bundle(ctx, h)
 }
 
+// headAt returns the head of a past generation, or the current one.
 func headAt(ctx context.Context, r *config.Repo, generation uint64) (config.Head, error) {
-	now, _, err := r.Head(ctx)
+	current, _, err := r.Head(ctx)
 	if err != nil {
 		return config.Head{}, err
 	}
-	if generation == 0 || generation > now.Generation {
-		return config.Head{}, &UsageError{Reason: fmt.Sprintf("there is no generation %d; the newest is %d", generation, now.Generation)}
+	if generation == 0 || generation > current.Generation {
+		return config.Head{}, &UsageError{Reason: fmt.Sprintf("there is no generation %d; the newest is %d", generation, current.Generation)}
 	}
-	heads, err := r.History(ctx, int(now.Generation-generation)+1)
+	heads, err := r.History(ctx, int(current.Generation-generation)+1)
 	if err != nil {
 		return config.Head{}, err
 	}
 	return heads[len(heads)-1], nil
 }
 
-// readBase returns the generation noted in dir; 0 if none is.
-func readBase(dir string) (uint64, error) {
-	data, err := os.ReadFile(filepath.Join(dir, baseFile))
+// readBaseGeneration returns the generation stored in dir, or 0 if there is none.
+func readBaseGeneration(dir string) (uint64, error) {
+	data, err := os.ReadFile(filepath.Join(dir, baseGenerationFile))
 	if os.IsNotExist(err) {
 		return 0, nil
 	}
@@ -263,13 +265,13 @@
 	}
 	n, err := strconv.ParseUint(strings.TrimSpace(string(data)), 10, 64)
 	if err != nil {
-		return 0, &UsageError{Reason: filepath.Join(dir, baseFile) + " does not hold a generation"}
+		return 0, &UsageError{Reason: filepath.Join(dir, baseGenerationFile) + " does not contain a generation number"}
 	}
 	return n, nil
 }
 
-func writeBase(dir string, generation uint64) error {
-	return os.WriteFile(filepath.Join(dir, baseFile), []byte(strconv.FormatUint(generation, 10)+"\n"), 0o644)
+func writeBaseGeneration(dir string, generation uint64) error {
+	return os.WriteFile(filepath.Join(dir, baseGenerationFile), []byte(strconv.FormatUint(generation, 10)+"\n"), 0o644)
 }
 
 func (o *options) getCmd() *cobra.Command {
@@ -281,7 +283,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, cancel := context.WithTimeout(cmd.Context(), o.timeout)
 			defer cancel()
-			r, err := o.repo()
+			r, err := o.openRepo()
 			if err != nil {
 				return err
 			}
@@ -302,7 +304,7 @@
 			return o.printBundle(b, secrets)
 		}}
 	cmd.Flags().StringVar(&dir, "dir", "", "write shedhoist.toml, with secrets, into this directory")
-	cmd.Flags().Uint64Var(&generation, "generation", 0, "a generation other than the one in force")
+	cmd.Flags().Uint64Var(&generation, "generation", 0, "generation to read instead of the one in force")
 	cmd.Flags().BoolVar(&secrets, "secrets", false, "print isolation secrets too")
 	return cmd
 }
@@ -315,7 +317,7 @@
 	return buf.Bytes(), nil
 }
 
-// bundleFile is the one file that get --dir writes.
+// bundleFile is the file to which init and get --dir write the configuration.
 const bundleFile = "shedhoist.toml"
 
 func writeBundle(dir string, h config.Head, b *config.Bundle) error {
@@ -325,7 +327,7 @@
 	}
 	others = slices.DeleteFunc(others, func(f string) bool { return filepath.Base(f) == bundleFile })
 	if len(others) > 0 {
-		return &UsageError{Reason: dir + " holds other TOML files (" + filepath.Base(others[0]) + "); name an empty directory"}
+		return &UsageError{Reason: dir + " contains other TOML files (" + filepath.Base(others[0]) + "); name an empty directory"}
 	}
 	data, err := encodeTOML(b)
 	if err != nil {
@@ -337,7 +339,7 @@
 	if err := os.WriteFile(filepath.Join(dir, bundleFile), data, 0o600); err != nil {
 		return err
 	}
-	return writeBase(dir, h.Generation)
+	return writeBaseGeneration(dir, h.Generation)
 }
 
 func (o *options) printBundle(b *config.Bundle, secrets bool) error {
@@ -350,38 +352,38 @@
 	if err != nil {
 		return err
 	}
-	var hide []string
+	var redactedFields []string
 	if !secrets {
-		hide = []string{"isolation_secret"}
+		redactedFields = []string{"isolation_secret"}
 	}
-	v, err := operator.Redact(b, hide...)
+	v, err := operator.Redact(b, redactedFields...)
 	if err != nil {
 		return err
 	}
-	return o.show(v, func(w io.Writer) { fmt.Fprint(w, string(data)) })
+	return o.print(v, func(w io.Writer) { fmt.Fprint(w, string(data)) })
 }
 
 func (o *options) historyCmd() *cobra.Command {
-	var n int
+	var count int
 	cmd := &cobra.Command{Use: "history", Short: "List accepted generations, newest first", Example: "  shedhoist history -n 5", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, cancel := context.WithTimeout(cmd.Context(), o.timeout)
 			defer cancel()
-			r, err := o.repo()
+			r, err := o.openRepo()
 			if err != nil {
 				return err
 			}
-			heads, err := r.History(ctx, n)
+			heads, err := r.History(ctx, count)
 			if err != nil {
 				return err
 			}
-			return o.show(heads, func(w io.Writer) {
+			return o.print(heads, func(w io.Writer) {
 				fmt.Fprintln(w, "GENERATION\tTIME\tAUTHOR\tMESSAGE\tDRAINED")
 				for _, h := range heads {
 					fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", h.Generation, h.Time.Format(time.RFC3339), h.Author, h.Message, strings.Join(h.Drained, ","))
 				}
 			})
 		}}
-	cmd.Flags().IntVarP(&n, "number", "n", 20, "how many")
+	cmd.Flags().IntVarP(&count, "number", "n", 20, "number of generations to list")
 	return cmd
 }
--- a/internal/tool/init.go
+++ b/internal/tool/init.go
@@ -2,7 +2,7 @@
 
 import (
 	"crypto/rand"
-	_ "embed" // for the example
+	_ "embed" // embeds example.toml
 	"encoding/hex"
 	"fmt"
 	"io"
@@ -16,7 +16,7 @@
 )
 
 //go:embed example.toml
-var example string
+var exampleConfig string
 
 // newKey returns 32 random bytes in hexadecimal.
 func newKey() string {
@@ -25,7 +25,7 @@
 	return hex.EncodeToString(b)
 }
 
-// Keys are the keys that init makes; they are shown once and stored nowhere.
+// Keys are the keys that init generates. They are printed once and not stored.
 type Keys struct {
 	Customer string `json:"customer_key"`
 	Operator string `json:"operator_key"`
@@ -39,14 +39,14 @@
 				return &UsageError{Reason: file + " exists already"}
 			}
 			k := Keys{Customer: "sk-" + newKey(), Operator: "op-" + newKey()}
-			text := strings.NewReplacer("@CUSTOMER_KEY@", view.KeyHash(k.Customer), "@OPERATOR_KEY@", view.KeyHash(k.Operator), "@SECRET@", newKey()).Replace(example)
+			text := strings.NewReplacer("@CUSTOMER_KEY@", view.KeyHash(k.Customer), "@OPERATOR_KEY@", view.KeyHash(k.Operator), "@SECRET@", newKey()).Replace(exampleConfig)
 			if err := os.MkdirAll(args[0], 0o755); err != nil {
 				return err
 			}
 			if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 				return err
 			}
-			return o.show(k, func(w io.Writer) {
+			return o.print(k, func(w io.Writer) {
 				fmt.Fprintf(w, "wrote %s\nkeep these keys, only their hashes are stored:\n  customer\t%s\n  operator\t%s\n", file, k.Customer, k.Operator)
 			})
 		}}
--- a/internal/tool/logs.go
+++ b/internal/tool/logs.go
@@ -11,17 +11,17 @@
 	"github.com/shedhoist/shedhoist/internal/requestlog"
 )
 
-// NoRequestError says that no line of the logs names a request.
-type NoRequestError struct{ Request string }
+// RequestNotFoundError reports that no log line names a request.
+type RequestNotFoundError struct{ Request string }
 
 // Error implements error.
-func (e *NoRequestError) Error() string { return "no line names request " + e.Request }
+func (e *RequestNotFoundError) Error() string { return "no line names request " + e.Request }
 
 func (o *options) logsCmd() *cobra.Command {
 	logs := &cobra.Command{Use: "logs", Short: "Read the instances' logs, offline"}
-	logs.AddCommand(&cobra.Command{Use: "explain REQUEST-ID FILE...", Short: "Join the log lines of several instances into the story of one request",
-		Long: "Reads JSON log lines of any number of instances, - for standard input, and prints the\n" +
-			"request's own lines, what changed around it, and what follows from them.",
+	logs.AddCommand(&cobra.Command{Use: "explain REQUEST-ID FILE...", Short: "Join the log lines of several instances into the timeline of one request",
+		Long: "Reads the JSON log lines of any number of instances (- is standard input) and prints the\n" +
+			"request's own lines, related changes around it, and findings.",
 		Example: "  shedhoist logs explain 81f7ad7fca34baef *.log\n  cat *.log | shedhoist logs explain -o json 81f7ad7fca34baef -",
 		Args:    cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -31,9 +31,9 @@
 			}
 			s := requestlog.Build(lines, args[0])
 			if s == nil {
-				return &NoRequestError{Request: args[0]}
+				return &RequestNotFoundError{Request: args[0]}
 			}
-			return o.show(s, func(w io.Writer) { storyTable(w, s) })
+			return o.print(s, func(w io.Writer) { printTimeline(w, s) })
 		}})
 	return logs
 }
@@ -62,36 +62,36 @@
 	return requestlog.Read(f)
 }
 
-func storyTable(w io.Writer, s *requestlog.Timeline) {
+func printTimeline(w io.Writer, s *requestlog.Timeline) {
 	fmt.Fprintf(w, "request %s\n", s.Request)
-	linesTable(w, s.Lines)
+	printLines(w, s.Lines)
 	if len(s.Related) > 0 {
 		fmt.Fprintln(w, "around it")
-		linesTable(w, s.Related)
+		printLines(w, s.Related)
 	}
 	fmt.Fprintln(w, "findings")
 	for _, f := range s.Findings {
 		fmt.Fprintf(w, "  - %s\n", f)
 	}
 	if len(s.Findings) == 0 {
-		fmt.Fprintln(w, "  none: nothing in these logs explains more than its own lines")
+		fmt.Fprintln(w, "  none: these logs explain no more than the request's own lines")
 	}
 }
 
-// storyFields are the fields shown of each line, in this order.
-var storyFields = []string{"target", "targets", "outcome", "status", "ended", "next", "detail", "error", "config", "version", "before", "from", "by", "leaving",
+// timelineFields are the log fields that are printed of each line, in this order.
+var timelineFields = []string{"target", "targets", "outcome", "status", "ended", "next", "detail", "error", "config", "version", "before", "from", "by", "leaving",
 	"weights", "ms", "first_ms", "predicted_ms", "link", "read_tokens", "age_ms", "store_age_ms", "token"}
 
-func linesTable(w io.Writer, lines []requestlog.Line) {
+func printLines(w io.Writer, lines []requestlog.Line) {
 	for _, l := range lines {
 		fmt.Fprintf(w, "  %s\t%s\t%s\t", l.Time.Format(time.TimeOnly+".000"), l.Instance, l.Message)
-		for _, name := range storyFields {
+		for _, name := range timelineFields {
 			if v, ok := l.Fields[name]; ok && v != "" {
 				fmt.Fprintf(w, "%s=%v ", name, v)
 			}
 		}
 		if l.OtherInstances > 0 {
-			fmt.Fprintf(w, "(and %d instances more)", l.OtherInstances)
+			fmt.Fprintf(w, "(and %d more instances)", l.OtherInstances)
 		}
 		fmt.Fprintln(w)
 	}
--- a/internal/tool/state.go
+++ b/internal/tool/state.go
@@ -21,9 +21,9 @@
 	"github.com/shedhoist/shedhoist/internal/wait"
 )
 
-// DaemonError says that an instance did not answer an operator's call, or
-// answered it with a failure. Status is 0 when there was no answer.
-type DaemonError struct {
+// InstanceError reports that an instance did not respond to an operator's call,
+// or responded with a failure. Status is 0 without a usable response.
+type InstanceError struct {
 	Path   string
 	Status int
 	Detail string
@@ -31,7 +31,7 @@
 }
 
 // Error implements error.
-func (e *DaemonError) Error() string {
+func (e *InstanceError) Error() string {
 	if e.Status == 0 {
 		return "instance not reached: " + e.Cause.Error()
 	}
@@ -39,15 +39,16 @@
 }
 
 // Unwrap returns the cause.
-func (e *DaemonError) Unwrap() error { return e.Cause }
+func (e *InstanceError) Unwrap() error { return e.Cause }
 
-func (o *options) client() (*http.Client, error) {
-	if o.http != nil {
-		return o.http, nil
+// httpClient returns the client for calls to instances, which trusts only the CA of --ca if set.
+func (o *options) httpClient() (*http.Client, error) {
+	if o.client != nil {
+		return o.client, nil
 	}
-	o.http = &http.Client{}
+	o.client = &http.Client{}
 	if o.ca == "" {
-		return o.http, nil
+		return o.client, nil
 	}
 	pem, err := os.ReadFile(o.ca)
 	if err != nil {
@@ -55,21 +56,21 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, &UsageError{Reason: o.ca + " holds no certificate"}
+		return nil, &UsageError{Reason: o.ca + " contains no certificate"}
 	}
-	o.http.Transport = &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS13}}
-	return o.http, nil
+	o.client.Transport = &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS13}}
+	return o.client, nil
 }
 
-// maxStateAnswer bounds an instance's answer, in bytes.
-const maxStateAnswer = 256 << 20
+// maxResponseBytes is the maximum size of an instance's response.
+const maxResponseBytes = 256 << 20
 
-// ask gets one operators' endpoint and decodes its answer.
-func (o *options) ask(ctx context.Context, path string, into any) error {
+// getJSON sends a GET request to an operators' endpoint and decodes its response into result.
+func (o *options) getJSON(ctx context.Context, path string, result any) error {
 	if o.daemon == "" || o.key == "" {
-		return &UsageError{Reason: "--daemon and --key (or SHEDHOIST_DAEMON and SHEDHOIST_KEY) are needed"}
+		return &UsageError{Reason: "--daemon and --key (or SHEDHOIST_DAEMON and SHEDHOIST_KEY) are required"}
 	}
-	hc, err := o.client()
+	client, err := o.httpClient()
 	if err != nil {
 		return err
 	}
@@ -84,91 +85,91 @@
 		return &UsageError{Reason: err.Error()}
 	}
 	req.Header.Set("Authorization", "Bearer "+o.key)
-	resp, err := hc.Do(req)
+	resp, err := client.Do(req)
 	if err != nil {
-		return &DaemonError{Path: path, Cause: err}
+		return &InstanceError{Path: path, Cause: err}
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxStateAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return &DaemonError{Path: path, Cause: err}
+		return &InstanceError{Path: path, Cause: err}
 	}
 	if resp.StatusCode != http.StatusOK {
-		var doc struct {
+		var problem struct {
 			Detail string `json:"detail"`
 		}
-		_ = json.Unmarshal(data, &doc)
-		return &DaemonError{Path: path, Status: resp.StatusCode, Detail: doc.Detail}
+		_ = json.Unmarshal(data, &problem)
+		return &InstanceError{Path: path, Status: resp.StatusCode, Detail: problem.Detail}
 	}
-	if err := json.Unmarshal(data, into); err != nil {
-		return &DaemonError{Path: path, Cause: err}
+	if err := json.Unmarshal(data, result); err != nil {
+		return &InstanceError{Path: path, Cause: err}
 	}
 	return nil
 }
 
-// waitInForce waits until every live instance has the generation in force,
-// with a progress line on the error stream.
-func (o *options) waitInForce(ctx context.Context, generation uint64, limit time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// waitInForce polls until the generation is in force at every live instance, and
+// prints the progress to the error stream.
+func (o *options) waitInForce(ctx context.Context, generation uint64, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	last := []string{"all"}
+	behind := []string{"all"}
 	for {
-		var f operator.Fleet
-		err := o.ask(ctx, "/v1/status", &f)
+		var fleet operator.Fleet
+		err := o.getJSON(ctx, "/v1/status", &fleet)
 		if err == nil {
-			in := 0
-			last = append([]string(nil), f.Unreached...)
-			for _, st := range f.Instances {
+			inForce := 0
+			behind = append([]string(nil), fleet.Unreached...)
+			for _, st := range fleet.Instances {
 				if st.Generation >= generation {
-					in++
+					inForce++
 				} else {
-					last = append(last, st.Name)
+					behind = append(behind, st.Name)
 				}
 			}
-			fmt.Fprintf(o.err, "generation %d in force at %d of %d instances\n", generation, in, len(f.Instances)+len(f.Unreached))
-			if len(last) == 0 {
+			fmt.Fprintf(o.err, "generation %d in force at %d of %d instances\n", generation, inForce, len(fleet.Instances)+len(fleet.Unreached))
+			if len(behind) == 0 {
 				return nil
 			}
-		} else if ctx.Err() == nil && !mayPass(err) {
+		} else if ctx.Err() == nil && !isTransient(err) {
 			return err
 		}
-		if !wait.For(ctx, waitPeriod) {
-			return &NotInForceError{Generation: generation, Behind: last}
+		if !wait.For(ctx, pollInterval) {
+			return &NotInForceError{Generation: generation, Behind: behind}
 		}
 	}
 }
 
-// mayPass says whether a failed look may succeed later: before the first
-// generation is in force at an instance, it knows no operator's key of it.
-func mayPass(err error) bool {
-	var d *DaemonError
-	return errors.As(err, &d) && d.Status == http.StatusUnauthorized
+// isTransient reports whether a failed poll may succeed later: an instance
+// rejects every operator's key until its first generation is in force.
+func isTransient(err error) bool {
+	var instanceErr *InstanceError
+	return errors.As(err, &instanceErr) && instanceErr.Status == http.StatusUnauthorized
 }
 
-// waitPeriod is the time between looks of --wait.
-const waitPeriod = 200 * time.Millisecond
+// pollInterval is the time between two polls of --wait.
+const pollInterval = 200 * time.Millisecond
 
 func (o *options) statusCmd() *cobra.Command {
-	return &cobra.Command{Use: "status", Short: "Is the newest generation in force everywhere, and where not", Example: "  shedhoist status", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "status", Short: "Show whether the newest generation is in force everywhere, and where it is not", Example: "  shedhoist status", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			var f operator.Fleet
-			if err := o.ask(cmd.Context(), "/v1/status", &f); err != nil {
+			var fleet operator.Fleet
+			if err := o.getJSON(cmd.Context(), "/v1/status", &fleet); err != nil {
 				return err
 			}
-			return o.show(f, func(w io.Writer) {
-				fmt.Fprintf(w, "generation %d in force everywhere: %v\n", f.Generation, f.Everywhere)
+			return o.print(fleet, func(w io.Writer) {
+				fmt.Fprintf(w, "generation %d in force everywhere: %v\n", fleet.Generation, fleet.Everywhere)
 				fmt.Fprintln(w, "INSTANCE\tZONE\tGENERATION\tREADY\tDRAINING\tIN HAND\tPLATFORM")
-				for _, st := range f.Instances {
-					fmt.Fprintf(w, "%s\t%s\t%d\t%v\t%v\t%d\t%s\n", st.Name, st.Zone, st.Generation, st.Ready, st.Draining, st.InFlight, reached(st.PlatformOK))
+				for _, st := range fleet.Instances {
+					fmt.Fprintf(w, "%s\t%s\t%d\t%v\t%v\t%d\t%s\n", st.Name, st.Zone, st.Generation, st.Ready, st.Draining, st.InFlight, reachability(st.PlatformOK))
 				}
-				for _, name := range f.Unreached {
+				for _, name := range fleet.Unreached {
 					fmt.Fprintf(w, "%s\t?\t?\t?\t?\t?\tinstance not reached\n", name)
 				}
 			})
 		}}
 }
 
-func reached(ok bool) string {
+func reachability(ok bool) string {
 	if ok {
 		return "reached"
 	}
@@ -176,13 +177,13 @@
 }
 
 func (o *options) membersCmd() *cobra.Command {
-	return &cobra.Command{Use: "members", Short: "List the entry instances as one of them knows them", Example: "  shedhoist members -o json", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "members", Short: "List the entry instances known to one of them", Example: "  shedhoist members -o json", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var list []operator.Member
-			if err := o.ask(cmd.Context(), "/v1/members", &list); err != nil {
+			if err := o.getJSON(cmd.Context(), "/v1/members", &list); err != nil {
 				return err
 			}
-			return o.show(list, func(w io.Writer) {
+			return o.print(list, func(w io.Writer) {
 				fmt.Fprintln(w, "INSTANCE\tADDRESS\tZONE\tSTATE\tINCARNATION")
 				for _, m := range list {
 					fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\n", m.Name, m.Address, m.Zone, m.State, m.Incarnation)
@@ -195,10 +196,10 @@
 	return &cobra.Command{Use: "targets", Short: "List the targets as one instance sees them", Example: "  shedhoist targets", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var list []operator.Target
-			if err := o.ask(cmd.Context(), "/v1/targets", &list); err != nil {
+			if err := o.getJSON(cmd.Context(), "/v1/targets", &list); err != nil {
 				return err
 			}
-			return o.show(list, func(w io.Writer) {
+			return o.print(list, func(w io.Writer) {
 				fmt.Fprintln(w, "TARGET\tZONE\tMODEL\tVERSION\tSTATE\tRUNNING\tQUEUED TOKENS\tREPORT AGE MS")
 				for _, t := range list {
 					fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%.0f\n", t.Name, t.Zone, t.Model, t.Version, t.State, t.Running, t.Queued, t.ReportMS)
@@ -211,27 +212,27 @@
 	return &cobra.Command{Use: "dump", Short: "Print one instance's whole state as JSON", Example: "  shedhoist dump > state.json", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var v any
-			if err := o.ask(cmd.Context(), "/v1/dump", &v); err != nil {
+			if err := o.getJSON(cmd.Context(), "/v1/dump", &v); err != nil {
 				return err
 			}
 			o.output = "json"
-			return o.show(v, nil)
+			return o.print(v, nil)
 		}}
 }
 
 func (o *options) explainCmd() *cobra.Command {
-	return &cobra.Command{Use: "explain REQUEST-ID", Short: "Show why a request went where it went, whichever instance served it",
+	return &cobra.Command{Use: "explain REQUEST-ID", Short: "Explain how a request was routed, whichever instance served it",
 		Example: "  shedhoist explain 4f0c2a58-6f1d-4f0e-9d52-8f1a3f1f8f11", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var r explain.Record
-			if err := o.ask(cmd.Context(), "/v1/explain/"+url.PathEscape(args[0]), &r); err != nil {
+			if err := o.getJSON(cmd.Context(), "/v1/explain/"+url.PathEscape(args[0]), &r); err != nil {
 				return err
 			}
-			return o.show(r, func(w io.Writer) { explainTable(w, &r) })
+			return o.print(r, func(w io.Writer) { printRecord(w, &r) })
 		}}
 }
 
-func explainTable(w io.Writer, r *explain.Record) {
+func printRecord(w io.Writer, r *explain.Record) {
 	fmt.Fprintf(w, "request %s\n", r.ID)
 	fmt.Fprintf(w, "  customer\t%s\n  %s\t%s\n  served by\t%s, generation %d\n", r.Customer, r.Kind, r.Name, r.Instance, r.Generation)
 	if r.Kind == "model" {
--- a/internal/tool/tool.go
+++ b/internal/tool/tool.go
@@ -1,6 +1,6 @@
-// Package tool is the operators' command line. Commands on configuration speak
-// to the platform itself, so they work while every instance is down; commands
-// on the state of the fleet ask one instance, any of them.
+// Package tool is the operators' command line. Commands on configuration access
+// the platform directly, so they work while every instance is down. Commands on
+// the state of the fleet query any one instance.
 package tool
 
 import (
@@ -27,27 +27,27 @@
 const (
 	ExitOK          = 0
 	ExitFailed      = 1 // anything not named below
-	ExitInvalid     = 2 // the command line or the configuration is wrong; nothing was changed
+	ExitInvalid     = 2 // the command line or the configuration is invalid; nothing was changed
 	ExitConflict    = 3 // another operator's change was accepted first; nothing was changed
 	ExitUnavailable = 4 // the platform or the instance did not answer; nothing was changed
-	ExitUncertain   = 5 // not known whether the change was accepted: see history
-	ExitNotInForce  = 6 // accepted, but not in force everywhere in the time given
+	ExitUncertain   = 5 // unknown whether the change was accepted: check the history command
+	ExitNotInForce  = 6 // accepted, but not in force everywhere within the time given
 	ExitDiffers     = 7 // diff --exit-code found differences
 )
 
-// UsageError says that a command line can't be carried out as written.
+// UsageError reports a command line that can't be executed as written.
 type UsageError struct{ Reason string }
 
 // Error implements error.
 func (e *UsageError) Error() string { return e.Reason }
 
-// DifferError says that diff found differences and was asked to tell by its exit code.
-type DifferError struct{ Edits int }
+// DifferencesError reports that diff --exit-code found differences.
+type DifferencesError struct{ Edits int }
 
 // Error implements error.
-func (e *DifferError) Error() string { return fmt.Sprintf("%d differences", e.Edits) }
+func (e *DifferencesError) Error() string { return fmt.Sprintf("%d differences", e.Edits) }
 
-// NotInForceError says that instances had not followed in time.
+// NotInForceError reports that the instances in Behind did not apply a generation in time.
 type NotInForceError struct {
 	Generation uint64
 	Behind     []string
@@ -58,14 +58,14 @@
 	return fmt.Sprintf("generation %d is accepted but not yet in force at: %s", e.Generation, strings.Join(e.Behind, ", "))
 }
 
-// options are the flags that all commands share.
+// options are the flags that all commands share, with the output streams and the HTTP client.
 type options struct {
 	platform, platformToken string
 	daemon, key, ca         string
 	output                  string
 	timeout                 time.Duration
 	out, err                io.Writer
-	http                    *http.Client
+	client                  *http.Client
 }
 
 // Main runs the tool and returns its exit code.
@@ -79,39 +79,40 @@
 	if err == nil {
 		return ExitOK
 	}
-	var differ *DifferError
-	if !errors.As(err, &differ) {
+	var differences *DifferencesError
+	if !errors.As(err, &differences) {
 		fmt.Fprintln(stderr, "shedhoist: "+err.Error())
 	}
 	return exitCode(err)
 }
 
+// exitCode maps an error to the exit code of its type.
 func exitCode(err error) int {
 	var (
 		invalid     tomlfile.Errors
 		usage       *UsageError
-		race        *config.RaceError
+		conflict    *config.RaceError
 		unavailable *platform.UnavailableError
-		daemon      *DaemonError
+		instance    *InstanceError
 		uncertain   *config.UncertainError
 		notInForce  *NotInForceError
-		differ      *DifferError
+		differences *DifferencesError
 	)
 	switch {
-	case errors.As(err, &uncertain): // before its cause
+	case errors.As(err, &uncertain): // checked before its cause, which may be an UnavailableError
 		return ExitUncertain
 	case errors.As(err, &invalid), errors.As(err, &usage):
 		return ExitInvalid
-	case errors.As(err, &race):
+	case errors.As(err, &conflict):
 		return ExitConflict
-	case errors.As(err, &unavailable), errors.As(err, &daemon) && daemon.Status == 0:
+	case errors.As(err, &unavailable), errors.As(err, &instance) && instance.Status == 0:
 		return ExitUnavailable
 	case errors.As(err, &notInForce):
 		return ExitNotInForce
-	case errors.As(err, &differ):
+	case errors.As(err, &differences):
 		return ExitDiffers
 	case strings.HasPrefix(err.Error(), "unknown "), strings.Contains(err.Error(), "arg(s)"), strings.Contains(err.Error(), "flag"):
-		return ExitInvalid // cobra's own errors have no types
+		return ExitInvalid // cobra's errors have no types of their own
 	}
 	return ExitFailed
 }
@@ -119,13 +120,13 @@
 const longHelp = `shedhoist checks and applies configuration, and shows the state of the fleet.
 
 Commands on configuration need --platform; commands on state need --daemon and
---key, the operators' address and key of any one instance. Each flag can come
-from the environment: SHEDHOIST_PLATFORM, SHEDHOIST_PLATFORM_TOKEN,
+--key, the operators' address and key of any one instance. Each flag can
+also be set in the environment: SHEDHOIST_PLATFORM, SHEDHOIST_PLATFORM_TOKEN,
 SHEDHOIST_DAEMON, SHEDHOIST_KEY, SHEDHOIST_CA.
 
-Exit codes: 0 done; 1 failed; 2 wrong command line or configuration, nothing
-changed; 3 conflict with another operator, nothing changed; 4 platform or
-instance not reached, nothing changed; 5 not known whether the change was
+Exit codes: 0 success; 1 failure; 2 invalid command line or configuration,
+nothing changed; 3 conflict with another operator, nothing changed; 4 platform
+or instance not reached, nothing changed; 5 unknown whether the change was
 accepted; 6 accepted but not in force everywhere in time; 7 differences found
 by diff --exit-code.`
 
@@ -136,9 +137,9 @@
 	f.StringVar(&o.platformToken, "platform-token", os.Getenv("SHEDHOIST_PLATFORM_TOKEN"), "token for the platform")
 	f.StringVar(&o.daemon, "daemon", os.Getenv("SHEDHOIST_DAEMON"), "URL of any instance's operators' listener")
 	f.StringVar(&o.key, "key", os.Getenv("SHEDHOIST_KEY"), "operator's key")
-	f.StringVar(&o.ca, "ca", os.Getenv("SHEDHOIST_CA"), "CA file that signs the operators' listeners")
+	f.StringVar(&o.ca, "ca", os.Getenv("SHEDHOIST_CA"), "file with the CA certificate of the operators' listeners")
 	f.StringVarP(&o.output, "output", "o", "table", "table or json")
-	f.DurationVar(&o.timeout, "timeout", 10*time.Second, "bound on each call")
+	f.DurationVar(&o.timeout, "timeout", 10*time.Second, "timeout of each call")
 	root.PersistentPreRunE = func(*cobra.Command, []string) error {
 		if o.output != "table" && o.output != "json" {
 			return &UsageError{Reason: "-o takes table or json, not " + o.output}
@@ -153,32 +154,32 @@
 func versionCmd(o *options) *cobra.Command {
 	return &cobra.Command{Use: "version", Short: "Print the version", Example: "  shedhoist version", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			return o.show(map[string]string{"version": version.String}, func(w io.Writer) { fmt.Fprintln(w, "shedhoist "+version.String) })
+			return o.print(map[string]string{"version": version.String}, func(w io.Writer) { fmt.Fprintln(w, "shedhoist "+version.String) })
 		}}
 }
 
-// repo opens the configuration in the platform.
-func (o *options) repo() (*config.Repo, error) {
+// openRepo returns the configuration repository on the platform.
+func (o *options) openRepo() (*config.Repo, error) {
 	if o.platform == "" {
-		return nil, &UsageError{Reason: "--platform (or SHEDHOIST_PLATFORM) is needed"}
+		return nil, &UsageError{Reason: "--platform (or SHEDHOIST_PLATFORM) is required"}
 	}
 	return &config.Repo{Store: platform.NewClient(o.platform, o.platformToken, nil), Now: time.Now}, nil
 }
 
-// show prints v as JSON, or by table.
-func (o *options) show(v any, table func(io.Writer)) error {
+// print prints v as JSON with -o json, and otherwise calls printTable.
+func (o *options) print(v any, printTable func(io.Writer)) error {
 	if o.output == "json" {
 		enc := json.NewEncoder(o.out)
 		enc.SetIndent("", "  ")
 		return enc.Encode(v)
 	}
 	w := tabwriter.NewWriter(o.out, 0, 4, 2, ' ', 0)
-	table(w)
+	printTable(w)
 	return w.Flush()
 }
 
-// author names who makes a change.
-func author() string {
+// changeAuthor returns the author recorded with a change: SHEDHOIST_AUTHOR, or else the system's user.
+func changeAuthor() string {
 	if a := os.Getenv("SHEDHOIST_AUTHOR"); a != "" {
 		return a
 	}
