--- a/internal/caller/model.go
+++ b/internal/caller/model.go
@@ -96,7 +96,7 @@
 	}
 	values := map[string]gjson.Result{}
 	var err error
-	root.ForEach(func(k, v gjson.Result) bool {
+	root.ForEach(func(k, value gjson.Result) bool {
 		if lower := strings.ToLower(k.Str); lower != k.Str && (reservedMembers[lower] || promptMembers[lower]) {
 			// Some JSON decoders match names case-insensitively and read "Prompt"
 			// as "prompt": the engine could then run a different prompt than the
@@ -107,7 +107,7 @@
 		if _, repeated := values[k.Str]; !repeated && !reservedMembers[k.Str] {
 			req.members = append(req.members, member{name: k.Str})
 		}
-		values[k.Str] = v
+		values[k.Str] = value
 		return true
 	})
 	if err != nil {
@@ -147,18 +147,18 @@
 	if !list.IsArray() {
 		return badRequest("messages: an array is needed")
 	}
-	var msgs []prefix.Message
-	for _, v := range list.Array() {
-		content, ok := messageText(v.Get("content"))
-		if !ok || v.Get("role").Type != gjson.String {
+	var messages []prefix.Message
+	for _, item := range list.Array() {
+		content, ok := messageText(item.Get("content"))
+		if !ok || item.Get("role").Type != gjson.String {
 			return badRequest("messages: each needs a role and text content")
 		}
-		msgs = append(msgs, prefix.Message{Role: v.Get("role").Str, Content: content})
+		messages = append(messages, prefix.Message{Role: item.Get("role").Str, Content: content})
 	}
-	if len(msgs) == 0 {
+	if len(messages) == 0 {
 		return badRequest("messages: at least one is needed")
 	}
-	m.canonical = prefix.Canonical(msgs)
+	m.canonical = prefix.Canonical(messages)
 	return nil
 }
 
@@ -249,9 +249,9 @@
 	release func(int)
 }
 
-func (a *modelResponse) close() {
-	a.run.Close()
-	a.release(a.run.Usage().CompletionTokens)
+func (resp *modelResponse) close() {
+	resp.run.Close()
+	resp.release(resp.run.Usage().CompletionTokens)
 }
 
 // completion is a response that is not streamed (OpenAI API reference).
@@ -278,25 +278,25 @@
 
 // collect reads the whole output of the run. If the run fails midway, it returns
 // the problem, and no part of the output is sent to the caller.
-func (a *modelResponse) collect() (any, error) {
+func (resp *modelResponse) collect() (any, error) {
 	var text strings.Builder
 	finish := ""
 	for {
-		c, err := a.run.Next()
+		chunk, err := resp.run.Next()
 		if errors.Is(err, io.EOF) {
 			break
 		}
 		if err != nil {
 			return nil, err
 		}
-		text.WriteString(c.Text)
-		if c.FinishReason != "" {
-			finish = c.FinishReason
+		text.WriteString(chunk.Text)
+		if chunk.FinishReason != "" {
+			finish = chunk.FinishReason
 		}
 	}
-	out := &completion{ID: a.id, Object: "text_completion", Created: a.created.Unix(), Model: a.req.model, Usage: a.run.Usage()}
+	out := &completion{ID: resp.id, Object: "text_completion", Created: resp.created.Unix(), Model: resp.req.model, Usage: resp.run.Usage()}
 	choice, content := completionChoice{Finish: finish}, text.String()
-	if a.req.chat {
+	if resp.req.chat {
 		out.Object = "chat.completion"
 		choice.Message = &completionMessage{Role: "assistant", Content: content}
 	} else {
@@ -313,8 +313,8 @@
 // complete response; after a failure midway it sends an error event and aborts
 // the connection.
 func (s *streamedResponse) relay(w http.ResponseWriter) {
-	a := (*modelResponse)(s)
-	defer a.close()
+	resp := (*modelResponse)(s)
+	defer resp.close()
 	h := w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-store")
@@ -322,7 +322,7 @@
 	controller := http.NewResponseController(w)
 	buf := make([]byte, 0, 512)
 	for {
-		c, err := a.run.Next()
+		chunk, err := resp.run.Next()
 		if errors.Is(err, io.EOF) {
 			_, _ = w.Write([]byte("data: [DONE]\n\n"))
 			return
@@ -332,10 +332,10 @@
 			_ = controller.Flush()
 			panic(http.ErrAbortHandler)
 		}
-		if c.Usage != nil && !a.req.includeUsage {
+		if chunk.Usage != nil && !resp.req.includeUsage {
 			continue
 		}
-		buf = append(append(append(buf[:0], "data: "...), c.Data...), "\n\n"...)
+		buf = append(append(append(buf[:0], "data: "...), chunk.Data...), "\n\n"...)
 		if _, err := w.Write(buf); err != nil {
 			return // the caller disconnected: close cancels the run
 		}
--- a/internal/tool/config.go
+++ b/internal/tool/config.go
@@ -68,11 +68,11 @@
 			if err != nil {
 				return err
 			}
-			_, old, err := currentBundle(ctx, r)
+			_, current, err := currentBundle(ctx, r)
 			if err != nil {
 				return err
 			}
-			edits, err := config.Diff(old, b)
+			edits, err := config.Diff(current, b)
 			if err != nil {
 				return err
 			}
@@ -111,7 +111,7 @@
 }
 
 func (o *options) applyCmd() *cobra.Command {
-	var f applyFlags
+	var flags applyFlags
 	cmd := &cobra.Command{Use: "apply DIR", Short: "Apply a directory of configuration atomically",
 		Long: `Apply a directory of configuration atomically.
 
@@ -121,17 +121,17 @@
 reports a conflict and both changes.`,
 		Example: "  shedhoist apply conf/ -m 'add clinic-7' --wait", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			f.baseSet = cmd.Flags().Changed("base")
-			return o.apply(cmd.Context(), args[0], f)
+			flags.baseSet = cmd.Flags().Changed("base")
+			return o.apply(cmd.Context(), args[0], flags)
 		}}
-	cmd.Flags().StringVarP(&f.message, "message", "m", "", "description of the change")
-	cmd.Flags().Uint64Var(&f.base, "base", 0, "generation on which the directory is based")
-	cmd.Flags().BoolVar(&f.wait, "wait", false, "wait until it is in force everywhere (needs --daemon and --key)")
-	cmd.Flags().DurationVar(&f.waitTimeout, "wait-for", 30*time.Second, "timeout of --wait")
+	cmd.Flags().StringVarP(&flags.message, "message", "m", "", "description of the change")
+	cmd.Flags().Uint64Var(&flags.base, "base", 0, "generation on which the directory is based")
+	cmd.Flags().BoolVar(&flags.wait, "wait", false, "wait until it is in force everywhere (needs --daemon and --key)")
+	cmd.Flags().DurationVar(&flags.waitTimeout, "wait-for", 30*time.Second, "timeout of --wait")
 	return cmd
 }
 
-func (o *options) apply(ctx context.Context, dir string, f applyFlags) error {
+func (o *options) apply(ctx context.Context, dir string, flags applyFlags) error {
 	b, err := config.Load(os.DirFS(dir))
 	if err != nil {
 		return err
@@ -140,8 +140,8 @@
 	if err != nil {
 		return err
 	}
-	base := f.base
-	if !f.baseSet {
+	base := flags.base
+	if !flags.baseSet {
 		if base, err = readBaseGeneration(dir); err != nil {
 			return err
 		}
@@ -152,24 +152,24 @@
 	}
 	callCtx, cancel := context.WithTimeout(ctx, o.timeout)
 	defer cancel()
-	old, _, err := r.Head(callCtx)
+	head, _, err := r.Head(callCtx)
 	if err != nil {
 		return err
 	}
-	if base, err = rebaseOverDrains(callCtx, r, base, old); err != nil {
+	if base, err = rebaseOverDrains(callCtx, r, base, head); err != nil {
 		return err
 	}
-	if base, err = rebaseOverDrains(callCtx, r, base, old); err != nil {
+	if base, err = rebaseOverDrains(callCtx, r, base, head); err != nil {
 		return err
 	}
-	h, err := r.Accept(callCtx, config.Change{Base: base, Parts: parts, Drained: old.Drained, Author: changeAuthor(), Message: f.message})
+	h, err := r.Accept(callCtx, config.Change{Base: base, Parts: parts, Drained: head.Drained, Author: changeAuthor(), Message: flags.message})
 	if err != nil {
 		return o.explainConflict(ctx, r, err, b)
 	}
 	if err := writeBaseGeneration(dir, h.Generation); err != nil {
 		return err
 	}
-	return o.reportAccepted(ctx, h, f.wait, f.waitTimeout)
+	return o.reportAccepted(ctx, h, flags.wait, flags.waitTimeout)
 }
 
 // rebaseOverDrains returns the head's generation if only drains were accepted since
--- a/internal/tool/drain.go
+++ b/internal/tool/drain.go
@@ -14,7 +14,7 @@
 
 func (o *options) drainCmd() *cobra.Command {
 	var undo, instance bool
-	var f applyFlags
+	var flags applyFlags
 	cmd := &cobra.Command{Use: "drain NAME", Short: "Send no new work to a target, store, service instance or entry instance",
 		Long: `Send no new work to a target, store, service instance or entry instance.
 
@@ -22,16 +22,16 @@
 but not of the files: apply and rollback leave it unchanged; drain --undo ends it.`,
 		Example: "  shedhoist drain engine-4 --wait\n  shedhoist drain engine-4 --undo\n  shedhoist drain --instance entry-2", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return o.drain(cmd.Context(), args[0], undo, instance, f)
+			return o.drain(cmd.Context(), args[0], undo, instance, flags)
 		}}
 	cmd.Flags().BoolVar(&undo, "undo", false, "end the drain")
 	cmd.Flags().BoolVar(&instance, "instance", false, "NAME is an entry instance, which the configuration does not list")
-	cmd.Flags().BoolVar(&f.wait, "wait", false, "wait until it is in force everywhere")
-	cmd.Flags().DurationVar(&f.waitTimeout, "wait-for", 30*time.Second, "timeout of --wait")
+	cmd.Flags().BoolVar(&flags.wait, "wait", false, "wait until it is in force everywhere")
+	cmd.Flags().DurationVar(&flags.waitTimeout, "wait-for", 30*time.Second, "timeout of --wait")
 	return cmd
 }
 
-func (o *options) drain(ctx context.Context, name string, undo, instance bool, f applyFlags) error {
+func (o *options) drain(ctx context.Context, name string, undo, instance bool, flags applyFlags) error {
 	r, err := o.openRepo()
 	if err != nil {
 		return err
@@ -60,5 +60,5 @@
 	if err != nil {
 		return err
 	}
-	return o.reportAccepted(ctx, h, f.wait, f.waitTimeout)
+	return o.reportAccepted(ctx, h, flags.wait, flags.waitTimeout)
 }
--- a/internal/tool/rollback.go
+++ b/internal/tool/rollback.go
@@ -12,7 +12,7 @@
 )
 
 func (o *options) rollbackCmd() *cobra.Command {
-	var f applyFlags
+	var flags applyFlags
 	cmd := &cobra.Command{Use: "rollback GENERATION", Short: "Create a new generation with the content of an old one",
 		Long:    "Create a new generation with the content of an old one. Generation numbers only increase; drains are unchanged.",
 		Example: "  shedhoist rollback 11 -m 'v8 answers badly' --wait", Args: cobra.ExactArgs(1),
@@ -21,15 +21,15 @@
 			if err != nil {
 				return &UsageError{Reason: "GENERATION must be a number, not " + strconv.Quote(args[0])}
 			}
-			return o.rollback(cmd.Context(), generation, f)
+			return o.rollback(cmd.Context(), generation, flags)
 		}}
-	cmd.Flags().StringVarP(&f.message, "message", "m", "", "why")
-	cmd.Flags().BoolVar(&f.wait, "wait", false, "wait until it is in force everywhere")
-	cmd.Flags().DurationVar(&f.waitTimeout, "wait-for", 30*time.Second, "timeout of --wait")
+	cmd.Flags().StringVarP(&flags.message, "message", "m", "", "why")
+	cmd.Flags().BoolVar(&flags.wait, "wait", false, "wait until it is in force everywhere")
+	cmd.Flags().DurationVar(&flags.waitTimeout, "wait-for", 30*time.Second, "timeout of --wait")
 	return cmd
 }
 
-func (o *options) rollback(ctx context.Context, generation uint64, f applyFlags) error {
+func (o *options) rollback(ctx context.Context, generation uint64, flags applyFlags) error {
 	r, err := o.openRepo()
 	if err != nil {
 		return err
@@ -45,12 +45,12 @@
 		return err
 	}
 	msg := fmt.Sprintf("rollback to %d", generation)
-	if f.message != "" {
-		msg += ": " + f.message
+	if flags.message != "" {
+		msg += ": " + flags.message
 	}
 	h, err := r.Accept(callCtx, config.Change{Base: current.Generation, Buckets: old.Buckets, Drained: current.Drained, Author: changeAuthor(), Message: msg})
 	if err != nil {
 		return err
 	}
-	return o.reportAccepted(ctx, h, f.wait, f.waitTimeout)
+	return o.reportAccepted(ctx, h, flags.wait, flags.waitTimeout)
 }
