--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -60,7 +60,7 @@
 	explainLog *explain.Log
 	engines    *target.Client
 	dispatch   *dispatch.Dispatcher
-	callers    *caller.Edge
+	callers    *caller.Server
 	admission  *admission
 	ledger     *ledger.Ledger
 	pool       *peer.Pool
@@ -96,7 +96,7 @@
 		Stores: kvstore.NewClient(settings.Duration(set.Timing.ConnectMS)), Hints: d.hints, Explain: d.explainLog, Log: d.log, Now: d.now,
 		Ledger: ledgerClient{d}, StreamIdleTimeout: streamIdleTimeout, MaxResponseBytes: int64(set.Limits.ResponseBytes)}
 	d.dispatch.Init(d.ctx)
-	d.callers = &caller.Edge{View: &d.view, Dispatch: d.dispatch, Admit: d.admission, Limits: set.Limits, Log: d.log, Now: d.now}
+	d.callers = &caller.Server{View: &d.view, Dispatch: d.dispatch, Admission: d.admission, Limits: set.Limits, Log: d.log, Now: d.now}
 	if err := d.listen(); err != nil {
 		d.closeListeners()
 		d.stop()
@@ -257,17 +257,17 @@
 func (d *Daemon) Shutdown(ctx context.Context) error {
 	notice, drainTimeout := settings.Duration(d.set.Timing.DrainNoticeMS), settings.Duration(d.set.Timing.DrainMS)
 	acceptUntil := d.now().Add(notice)
-	d.callers.Stops(&drain.Schedule{AcceptUntil: acceptUntil, AbortAt: acceptUntil.Add(drainTimeout)})
+	d.callers.SetStopSchedule(&drain.Schedule{AcceptUntil: acceptUntil, AbortAt: acceptUntil.Add(drainTimeout)})
 	d.query(func(c *control) {
 		c.draining = true
 		d.view.Store(c.buildView(d.set.Name))
 	})
-	d.log.WithField("in_hand", d.callers.InHand()).Info("draining")
+	d.log.WithField("in_hand", d.callers.InFlight()).Info("draining")
 	wait.For(ctx, notice)
 	drainCtx, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
 	err := drain.Stop(drainCtx, d.callerSrv, d.callerLn, &d.callerConns, idleLinger)
-	aborted := d.callers.InHand()
+	aborted := d.callers.InFlight()
 	if err != nil {
 		d.callerSrv.Close()
 	}
