--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -85,7 +85,7 @@
 // If it fails, all listeners are closed.
 func New(set *settings.Settings, logger log.Interface) (*Daemon, error) {
 	d := &Daemon{set: set, log: logger.WithField("instance", set.Name).WithField("zone", set.Zone), now: time.Now,
-		events: make(chan event, eventQueueSize), controlDone: make(chan struct{}), hints: cache.NewHints(cache.DefaultHintKeys), explainLog: explain.NewLog(set.Limits.ExplainRecords)}
+		events: make(chan event, eventQueueSize), controlDone: make(chan struct{}), hints: cache.NewHints(cache.DefaultHintKeys), explainLog: explain.NewLog(set.Limits.WhyRecords)}
 	d.ctx, d.stop = context.WithCancel(context.Background())
 	d.store = platform.NewClient(set.Platform.URL, set.Platform.Token, nil)
 	d.repo = &config.Repo{Store: d.store, Now: d.now}
@@ -94,7 +94,7 @@
 	d.admission = newAdmission(d.now)
 	d.dispatch = &dispatch.Dispatcher{Instance: set.Name, Zone: set.Zone, View: &d.view, Targets: d.engines,
 		Stores: kvstore.NewClient(settings.Duration(set.Timing.ConnectMS)), Hints: d.hints, Explain: d.explainLog, Log: d.log, Now: d.now,
-		Ledger: ledgerClient{d}, StreamIdleTimeout: streamIdleTimeout, MaxResponseBytes: int64(set.Limits.ResponseBytes)}
+		Ledger: ledgerClient{d}, StreamIdleTimeout: streamIdleTimeout, MaxResponseBytes: int64(set.Limits.AnswerBytes)}
 	d.dispatch.Init(d.ctx)
 	d.callers = &caller.Server{View: &d.view, Dispatch: d.dispatch, Admission: d.admission, Limits: set.Limits, Log: d.log, Now: d.now}
 	if err := d.listen(); err != nil {
@@ -176,7 +176,7 @@
 
 // Start starts the background loops and serves on all listeners.
 func (d *Daemon) Start() {
-	advertise := d.set.Peers.AdvertiseAddress
+	advertise := d.set.Peers.Advertise
 	if advertise == "" {
 		advertise = d.PeerAddr()
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -44,9 +44,9 @@
 	// Secret is shared by all instances. It is required if peers do not use TLS.
 	Secret     string `toml:"secret"`
 	SecretFile string `toml:"secret_file"`
-	// AdvertiseAddress is the address announced to peers. If it is empty, the
+	// Advertise is the address announced to peers. If it is empty, the
 	// listener's address is announced.
-	AdvertiseAddress string `toml:"advertise" validate:"omitempty,address"`
+	Advertise string `toml:"advertise" validate:"omitempty,address"`
 }
 
 // Operators lists operator keys that this instance accepts in addition to those
@@ -77,13 +77,13 @@
 // Limits holds the limits on one request or connection of a caller, and the
 // number of explain records kept.
 type Limits struct {
-	HeaderBytes    int `toml:"header_bytes" validate:"min=1024,max=1048576"`
-	BodyBytes      int `toml:"body_bytes" validate:"min=1024,max=67108864"`
-	ResponseBytes  int `toml:"answer_bytes" validate:"min=1024,max=67108864"`
-	HeaderSeconds  int `toml:"header_seconds" validate:"min=1,max=600"`
-	BodySeconds    int `toml:"body_seconds" validate:"min=1,max=600"`
-	IdleSeconds    int `toml:"idle_seconds" validate:"min=1,max=3600"`
-	ExplainRecords int `toml:"why_records" validate:"min=1,max=1000000"`
+	HeaderBytes   int `toml:"header_bytes" validate:"min=1024,max=1048576"`
+	BodyBytes     int `toml:"body_bytes" validate:"min=1024,max=67108864"`
+	AnswerBytes   int `toml:"answer_bytes" validate:"min=1024,max=67108864"`
+	HeaderSeconds int `toml:"header_seconds" validate:"min=1,max=600"`
+	BodySeconds   int `toml:"body_seconds" validate:"min=1,max=600"`
+	IdleSeconds   int `toml:"idle_seconds" validate:"min=1,max=3600"`
+	WhyRecords    int `toml:"why_records" validate:"min=1,max=1000000"`
 }
 
 // Timing holds periods in milliseconds.
@@ -104,8 +104,8 @@
 	return Settings{
 		Listen: Listen{Callers: "127.0.0.1:0", Operators: "127.0.0.1:0", Peers: "127.0.0.1:0"},
 		Log:    Log{Level: "info", Format: "json"},
-		Limits: Limits{HeaderBytes: 64 << 10, BodyBytes: 8 << 20, ResponseBytes: 16 << 20, HeaderSeconds: 5,
-			BodySeconds: 30, IdleSeconds: 120, ExplainRecords: 4096},
+		Limits: Limits{HeaderBytes: 64 << 10, BodyBytes: 8 << 20, AnswerBytes: 16 << 20, HeaderSeconds: 5,
+			BodySeconds: 30, IdleSeconds: 120, WhyRecords: 4096},
 		Timing: Timing{DrainNoticeMS: 5000, DrainMS: 120_000, ProbeMS: 250, HeartbeatMS: 500,
 			ConfigPollMS: 5000, ConnectMS: 1000},
 	}
