--- a/internal/core/atmostonce/atmostonce.go
+++ b/internal/core/atmostonce/atmostonce.go
@@ -18,7 +18,8 @@
 // ID identifies a claim: a hash of customer and idempotency key.
 type ID [16]byte
 
-// Nonce distinguishes claims of the same ID made by different dispatches.
+// Nonce distinguishes claims of the same ID made by different dispatches, and writes of
+// the same tip.
 type Nonce [8]byte
 
 // Outcome is a stored response. If the body exceeds MaxOutcomeBytes, Body is empty
--- a/internal/core/attempt/attempt.go
+++ b/internal/core/attempt/attempt.go
@@ -9,7 +9,7 @@
 // Event is how an attempt ended.
 type Event uint8
 
-// The events.
+// The events that end an attempt.
 const (
 	NotSent              Event = iota // no byte of the request reached a connection
 	Refused                           // the target refused in its documented way, so the request did not run
@@ -30,7 +30,7 @@
 // Action is what to do next.
 type Action uint8
 
-// The actions.
+// The actions; Finish and Fail end the request.
 const (
 	Finish Action = iota // deliver the response: the request is complete
 	Fail                 // end the request with the problem in Verdict.Kind
--- a/internal/core/cache/hints.go
+++ b/internal/core/cache/hints.go
@@ -44,7 +44,7 @@
 	return limit
 }
 
-// targetKeys holds one target's keys and evicts the oldest first.
+// targetKeys holds one target's keys in a ring. At the limit, add replaces the oldest entry.
 type targetKeys struct {
 	mu      sync.RWMutex
 	index   map[prefix.Key]int // index in ring
@@ -114,7 +114,8 @@
 	}
 }
 
-// trim evicts the oldest keys beyond the limit and frees their space.
+// trim reduces the ring to its last limit entries and frees the space of the others. These are
+// the newest entries only until the ring has wrapped; entries of removed keys are indexed again.
 func (t *targetKeys) trim(limit int) {
 	if len(t.ring) <= limit {
 		return
--- a/internal/core/cachestore/bounds.go
+++ b/internal/core/cachestore/bounds.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Bounds are the time limits that prevent an instance from fetching a part while another
-// instance's save rewrites it. Instances share these durations and coordinate in no other way.
+// Bounds are the time limits that prevent an instance from fetching a cache part from a
+// store while another instance's save rewrites it. Instances share these durations and coordinate in no other way.
 // A save has no expiry of its own, and nothing in the request binds it to the boot epoch in which
 // it was decided. An instance that knows neither of the part nor of a restart can therefore
 // rewrite the part after its store restarted empty; no other instance may fetch it meanwhile.
@@ -19,7 +19,7 @@
 //     f >= c + FetchDelay > d + SaveTime. By then the save has ended, or is known to be late, in
 //     which case the part is not fetched.
 //   - An instance that knows of the new epoch saves only once it has known of it for SaveDelay,
-//     and saves a freed part only once it has known of the removal for SaveDelay. By then
+//     and saves a removed part again only once it has known of the removal for SaveDelay. By then
 //     f + FetchTime has passed for every f <= r + FetchAge.
 //
 // FetchDelay does not apply to a part if every instance has reported that it knows the event that
--- a/internal/core/limit/fleet_budget.go
+++ b/internal/core/limit/fleet_budget.go
@@ -4,7 +4,8 @@
 
 // FleetBudget is one instance's part of a retry budget of the whole fleet: in any window, the
 // retries are at most Ratio times the requests, plus Slack. Each instance earns retries by its
-// own requests and holds an equal part of the slack, so the instances need no messages.
+// own requests and holds an equal part of the slack, so the instances need no messages. It
+// is not safe for concurrent use.
 type FleetBudget struct {
 	Ratio float64 // retries earned per request
 	Slack float64 // retries of the whole fleet in a window beyond the earned ones
--- a/internal/core/member/member.go
+++ b/internal/core/member/member.go
@@ -57,7 +57,7 @@
 	SuspicionTimeout time.Duration // after which a suspect member is dead
 	Retention        time.Duration // how long dead members and those that left are kept
 	IndirectProbes   int           // members that probe one that failed a direct probe
-	MaxUpdates       int           // updates on one message
+	MaxUpdates       int           // updates in one message, besides the state of its recipient
 	MaxMembers       int           // bounds memory against invalid updates
 }
 
@@ -187,7 +187,8 @@
 
 // DirectProbeFailed records that a direct probe was not answered. It returns
 // the indirect probes to send. The caller then calls Ack if one of them
-// succeeds, else ProbeFailed; if none is returned, the member is suspect already.
+// succeeds, else ProbeFailed. If none is returned, no call is needed: the member
+// is suspect already, dead, gone or unknown.
 func (m *Machine) DirectProbeFailed(name string, now time.Time) []Probe {
 	r := m.members[name]
 	if r == nil || r.State >= Dead {
@@ -302,8 +303,8 @@
 	m.enqueue(m.self)
 }
 
-// Leave marks this instance as left. It returns the last probes to send, which
-// carry the update.
+// Leave marks this instance as left. It returns the last probes to send, at most
+// IndirectProbes, which carry the update.
 func (m *Machine) Leave() []Probe {
 	m.self.State = Left
 	m.changed = true
--- a/internal/core/observe/observe.go
+++ b/internal/core/observe/observe.go
@@ -21,7 +21,7 @@
 // Params are the thresholds and rates of a Tracker.
 type Params struct {
 	FailureThreshold   int           // consecutive failed probes after which a target is suspect
-	ReportTimeout      time.Duration // age of the newest report at which a target is suspect; see reportTimeout
+	ReportTimeout      time.Duration // least age of the newest report at which a target is suspect; reportTimeout adds to it
 	MaxDigests         int           // maximum number of digests in a message
 	MinRefreshInterval time.Duration // minimum time between two refreshes of a target
 	RefreshesPerSecond float64       // maximum rate of refreshes for all targets together
@@ -57,12 +57,12 @@
 		score uint64
 	}
 	ranked := make([]scored, len(members))
-	var digest xxhash.Digest
+	var hash xxhash.Digest
 	for i, m := range members {
-		digest.Reset()
-		_, _ = digest.WriteString(m.Name)
-		_, _ = digest.WriteString(target)
-		ranked[i] = scored{m, digest.Sum64()}
+		hash.Reset()
+		_, _ = hash.WriteString(m.Name)
+		_, _ = hash.WriteString(target)
+		ranked[i] = scored{m, hash.Sum64()}
 	}
 	slices.SortFunc(ranked, func(a, b scored) int { return cmp.Compare(b.score, a.score) })
 	if i := slices.IndexFunc(ranked, func(o scored) bool { return o.Zone != ranked[0].Zone }); i > 1 {
@@ -308,7 +308,8 @@
 }
 
 // routingState checks the conditions in order of precedence: drained by an
-// operator, leaving by any source, not observed, failed or timed out, loading.
+// operator, leaving by any source, not observed, suspect (down, timed out or
+// ejected), loading.
 func (t *Tracker) routingState(e *targetEntry, now time.Time) route.State {
 	switch {
 	case e.spec.Drained:
--- a/internal/core/placement/backoff_test.go
+++ b/internal/core/placement/backoff_test.go
@@ -31,8 +31,8 @@
 		{"the other target was tried and the response has started", func(x, y *placement.Target, q *placement.Query) { y.Excluded, q.Started = true, true }, placement.NoTarget, -1, 1},
 		{"the other target is full", func(x, y *placement.Target, q *placement.Query) { y.UsedTokens = 95 }, placement.Refuse, -1, 1},
 		{"both are in backoff", func(x, y *placement.Target, q *placement.Query) { y.InBackoff = true }, placement.NoTarget, -1, 2},
-		{"both are in backoff and it was tried", func(x, y *placement.Target, q *placement.Query) { y.InBackoff, x.Excluded = true, true }, placement.NoTarget, -1, 2},
-		{"it lacks the model and the other target was tried", func(x, y *placement.Target, q *placement.Query) { x.LacksModel, y.Excluded = true, true }, placement.NoTarget, -1, 0},
+		{"both are in backoff and x was tried", func(x, y *placement.Target, q *placement.Query) { y.InBackoff, x.Excluded = true, true }, placement.NoTarget, -1, 2},
+		{"x lacks the model and the other target was tried", func(x, y *placement.Target, q *placement.Query) { x.LacksModel, y.Excluded = true, true }, placement.NoTarget, -1, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/core/prefix/prefix.go
+++ b/internal/core/prefix/prefix.go
@@ -16,8 +16,8 @@
 )
 
 // ChunkBytes is the length of one chunk of a canonical prompt, in bytes. At about
-// four bytes a token it is one cache piece of about a thousand tokens (brief,
-// "Sizes of today").
+// four bytes a token it covers about a thousand tokens, one cache piece (see
+// "Sizes of today" in the project's brief).
 const ChunkBytes = 4096
 
 // BytesPerToken is the assumed ratio of prompt bytes to tokens.
@@ -75,8 +75,8 @@
 	return dst
 }
 
-// RootHash returns a hash of the first chunk of a customer's prompt, independent of the
-// model and its weights.
+// RootHash returns a hash, keyed by the customer's secret, of a prompt's first chunk, or of the
+// whole prompt if it is shorter. It is independent of the model and its weights.
 func RootHash(secret []byte, canonical string) uint64 {
 	mac := hmac.New(sha256.New, secret)
 	mac.Write([]byte(canonical[:min(len(canonical), ChunkBytes)]))
@@ -100,8 +100,9 @@
 	frameQuote = 0xFF // follows a frameStart byte that belongs to a role or content
 )
 
-// Canonical encodes a chat as bytes. Different chats never have the same encoding:
-// a NUL in a role or content is escaped, so that framing can't be forged. There are
+// Canonical encodes a chat as bytes. Different chats never have the same encoding if
+// no role contains frameBody or starts with frameQuote: a NUL in a role or content is
+// escaped, so that it can't be taken for the start of a message. There are
 // no length prefixes, so a chat or message that is only appended to keeps its
 // earlier encoding as a prefix, and with it its keys.
 func Canonical(msgs []Message) string {
--- a/internal/core/quarantine/bench_test.go
+++ b/internal/core/quarantine/bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/shedhoist/shedhoist/internal/core/quarantine"
 )
 
-// BenchmarkRecordAnswer measures the cost of one answered request: computing its key and caching
+// BenchmarkRecordAnswer measures the cost of one answered request: computing its key and recording
 // the time of its response.
 func BenchmarkRecordAnswer(b *testing.B) {
 	tracker := quarantine.NewTracker()
--- a/internal/core/rollout/lease.go
+++ b/internal/core/rollout/lease.go
@@ -13,8 +13,8 @@
 // for Term - Margin after a write. So no two instances give orders at once as long as their
 // clocks drift apart by less than the two margins within that time.
 type LeaseParams struct {
-	Term          time.Duration
-	Margin        time.Duration
+	Term          time.Duration // of the lease, from a write on
+	Margin        time.Duration // for clock drift, taken off by the holder and added by a contender
 	RenewInterval time.Duration // between renewals
 }
 
@@ -24,7 +24,7 @@
 // Step is the operation on the platform's object that the lease needs next.
 type Step uint8
 
-// Steps of a lease.
+// The operations; StepNone means that nothing is due.
 const (
 	StepNone  Step = iota
 	StepRead       // read the object, then call Observe
@@ -41,7 +41,7 @@
 	versionSince time.Time // when that version was first seen here
 	lastWrite    time.Time // start of the last own write that took effect; zero: not held
 	token        uint64
-	acquired     bool // by an acquisition, not a renewal, since the last TakeAcquired
+	acquired     bool // set by an acquisition, not by a renewal; reset by TakeAcquired
 }
 
 // NewLease returns a lease that self does not hold.
--- a/internal/core/route/baseline.go
+++ b/internal/core/route/baseline.go
@@ -10,7 +10,7 @@
 // can compare the policies.
 type Policy string
 
-// Policies.
+// The policies, by their names in a configuration.
 const (
 	Cost       Policy = ""            // lowest predicted cost among the homes and two random targets
 	RoundRobin Policy = "round-robin" // each target in turn
@@ -38,8 +38,8 @@
 		score := 0.0
 		switch p.Policy {
 		case LeastLoad:
-			runs, _ := h.Inflight(t.Name)
-			score = math.Max(float64(t.Running), float64(runs))*16 + float64(splitMix64(q.Seed^uint64(i))%16)
+			inFlight, _ := h.Inflight(t.Name)
+			score = math.Max(float64(t.Running), float64(inFlight))*16 + float64(splitMix64(q.Seed^uint64(i))%16) // equal loads: random order
 		case Affinity:
 			score = -float64(splitMix64(rootHash(q) ^ xxhash.Sum64String(t.Name)))
 		case Oracle:
--- a/internal/core/staleness/staleness.go
+++ b/internal/core/staleness/staleness.go
@@ -49,7 +49,7 @@
 // copyState is the state of the copy of one kind of object.
 type copyState struct {
 	newestRevision uint64    // newest revision that the object store is known to have
-	requestedAt    time.Time // last time at which it had no newer one; zero: not known
+	requestedAt    time.Time // send time of the latest request that found no newer one; zero: not known
 	copyRevision   uint64    // the copy is complete up to this revision
 	completeAsOf   time.Time // last time at which the copy was complete; zero: not known
 }
--- a/internal/core/warmup/warmup.go
+++ b/internal/core/warmup/warmup.go
@@ -70,11 +70,11 @@
 // written. A request that gets the slot afterwards cannot be sent and arrive within the same
 // second as the previous one.
 type slots struct {
-	inFlight  int
-	releaseAt []time.Time
+	inFlight  int         // requests that are not yet written
+	releaseAt []time.Time // ends of the holds of written requests
 }
 
-// taken returns the number of occupied slots.
+// taken frees the slots whose hold has ended and returns the number of occupied ones.
 func (s *slots) taken(now time.Time) int {
 	s.releaseAt = slices.DeleteFunc(s.releaseAt, func(at time.Time) bool { return !now.Before(at) })
 	return s.inFlight + len(s.releaseAt)
--- a/internal/core/zonehealth/zonehealth.go
+++ b/internal/core/zonehealth/zonehealth.go
@@ -56,7 +56,8 @@
 	return true
 }
 
-// EndProbe records the result of a probe: whether any target answered. It reports whether the
+// EndProbe records the result of a probe: whether any target answered. The caller also calls it,
+// without BeginProbe, to mark an unreachable zone as reachable again. It reports whether the
 // zone's state changed.
 func (t *Tracker) EndProbe(name string, answered bool) bool {
 	t.mu.Lock()
