--- a/internal/gateway/config_sync.go
+++ b/internal/gateway/config_sync.go
@@ -106,8 +106,8 @@
 	return result
 }
 
-// fetchConfigs fetches reported configurations that do not arrive with updates or the
-// instance's own watch.
+// fetchConfigs runs until ctx ends and fetches reported configurations that do not arrive
+// with updates or the instance's own watch.
 func (g *Gateway) fetchConfigs(ctx context.Context) {
 	var partial partialConfig
 	pause := updatePoll
@@ -252,8 +252,9 @@
 	lastChunk map[string]time.Time // when each was sent its latest chunk
 }
 
-// admit reports whether an instance may be sent a chunk now. last means that the chunk
-// completes the document.
+// admit reports whether an instance may be sent a chunk now, and if so records it as a
+// receiver until peerTimeout after its latest chunk. last means that the chunk completes the
+// document, which ends the record at once.
 func (r *configReceivers) admit(name string, last bool, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/gateway/crash_detector_test.go
+++ b/internal/gateway/crash_detector_test.go
@@ -11,24 +11,24 @@
 )
 
 // TestCrashedTargetsAreExcluded guards against requests that are refused because their attempts meet
-// one crashed target after another: once an instance has found the crashes, it uses other targets.
+// one crashed target after another: once an instance has detected the crashes, it uses other targets.
 func TestCrashedTargetsAreExcluded(t *testing.T) {
 	const targets, crashed, requests = 12, 9, 20
-	for name, runs := range map[string]int{"one request in flight per target": 1, "several requests in flight per target": 8} {
+	for name, requestsPerTarget := range map[string]int{"one request in flight per target": 1, "several requests in flight per target": 8} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				f := newTrafficFleet(t, 1, 1, targets)
 				defer f.stop()
 				var inFlight sync.WaitGroup
-				for range runs * targets {
+				for range requestsPerTarget * targets {
 					inFlight.Go(func() { f.request(0, pathOnce, slowBody) })
 					time.Sleep(time.Millisecond)
 				}
 				time.Sleep(slowTime / 2)
-				for _, m := range f.targets[:crashed] {
-					is.True(m.busy())
-					m.crash()
+				for _, target := range f.targets[:crashed] {
+					is.True(target.busy())
+					target.crash()
 				}
 				time.Sleep(100 * time.Millisecond) // until the crashes are detected
 				served := 0
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -43,6 +43,7 @@
 	n.isolated[host] = isolated
 }
 
+// isConnected reports whether neither of the hosts is isolated.
 func (n *memoryNetwork) isConnected(hosts [2]string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -189,10 +190,12 @@
 	return p, true
 }
 
+// deliver delivers one write after networkDelay, or drops it if a host is isolated. It returns false if the
+// other end is closed.
 func (m *memoryConn) deliver(p []byte) bool {
 	time.Sleep(networkDelay)
 	if !m.network.isConnected(m.hosts) {
-		return true // lost
+		return true // the write is lost, the connection stays open
 	}
 	_, err := m.Conn.Write(p)
 	return err == nil
@@ -308,12 +311,14 @@
 	calls  int
 }
 
+// setSilent sets whether calls get no response.
 func (d *storeClient) setSilent(silent bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.silent = silent
 }
 
+// countCall returns how many calls were made through the client.
 func (d *storeClient) countCall() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -499,7 +504,7 @@
 	for f.readyCount() < n {
 		time.Sleep(100 * time.Millisecond)
 	}
-	time.Sleep(5 * time.Second) // lets the work of startup end
+	time.Sleep(5 * time.Second) // until the background work of startup is done
 	return f
 }
 
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -112,7 +112,7 @@
 	s.handler = handler
 }
 
-// resetCounts drops what was recorded of requests.
+// resetCounts forgets all received requests and the notices sent.
 func (s *leavingTarget) resetCounts() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -331,8 +331,8 @@
 		path     string
 		every    time.Duration
 		handler  func(http.ResponseWriter, *http.Request, bool)
-		before   func(f *leavingFleet)                   // right before the target's first notice
-		after    func(f *leavingFleet, s *leavingTarget) // while requests are sent
+		before   func(f *leavingFleet)                   // right after the target starts to send notices
+		after    func(f *leavingFleet, s *leavingTarget) // one second after that; requests continue afterwards
 		noStart  bool                                    // entries have no start times
 		failures bool                                    // requests may fail: targets break them, or the retry budget is used up
 	}{
@@ -478,7 +478,7 @@
 	})
 }
 
-// TestNewIncarnationAfterLeaving guards against leaving out a target's new incarnation because of the
+// TestNewIncarnationAfterLeaving guards against excluding a target's new incarnation because of the
 // notice of the previous one.
 func TestNewIncarnationAfterLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -499,7 +499,7 @@
 	})
 }
 
-// TestWrongResponseCarriesNotice guards against leaving out a target for good because of a notice in the
+// TestWrongResponseCarriesNotice guards against excluding a target for good because of a notice in the
 // response to another request.
 func TestWrongResponseCarriesNotice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -578,8 +578,8 @@
 	})
 }
 
-// TestLeavingIsNoCrash guards against taking the end of a target that has announced that it leaves for a
-// crash.
+// TestLeavingIsNoCrash guards against treating the end of a target that has announced that it leaves
+// as a crash.
 func TestLeavingIsNoCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -640,7 +640,7 @@
 	})
 }
 
-// TestReportOfAnotherIncarnation guards against leaving out a target because of the report of another of its
+// TestReportOfAnotherIncarnation guards against excluding a target because of the report of another of its
 // incarnations.
 func TestReportOfAnotherIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -21,9 +21,10 @@
 	}
 }
 
-// applyBackoff sends no callers' requests to a target for the time for which it has requested a backoff.
-// Each instance applies only the requests it received itself, since a target requests a backoff of the
-// instances that send it too much.
+// applyBackoff stops sending callers' requests to a target for as long as the target requested. Each instance
+// applies only the backoffs that were requested of it, since a target requests them from the instances that
+// send it too much. If a later incarnation than the addressed one is assumed to have responded, the backoff is
+// limited to InheritedNoticeTTL.
 func (g *Gateway) applyBackoff(t *catalog.Target, backoff time.Duration, source registry.Source) {
 	if next := g.respondingIncarnation(t, source); next != t {
 		t, backoff = next, min(backoff, registry.InheritedNoticeTTL)
@@ -55,7 +56,7 @@
 }
 
 // reportingIncarnation returns the incarnation of a target that gave a report: the addressed one, unless
-// the report tells another start.
+// the report states another start time.
 func reportingIncarnation(addressed *catalog.Target, report Report) *catalog.Target {
 	if report.Start == 0 || addressed.Start == 0 || report.Start == addressed.Start {
 		return addressed
--- a/internal/gateway/relay_tree_test.go
+++ b/internal/gateway/relay_tree_test.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// TestSmallTree checks that in a small fleet no instance has children.
+// TestSmallTree checks that in a small fleet no instance has children, because all of them poll the sources
+// themselves.
 func TestSmallTree(t *testing.T) {
 	is := is.New(t)
 	all := membersOf(maxSmallFleet, 3)
