--- a/internal/breaker/backoff.go
+++ b/internal/breaker/backoff.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// A backoff that a name has requested is kept apart from the ejections that follow failures: it
-// lasts until the requested time, whatever succeeds or fails meanwhile, and the name is not probed
-// before that.
+// A name is that of a target or a store. A backoff that it has requested is kept apart from the
+// ejections that follow failures: it lasts until the requested time, whatever succeeds or fails
+// meanwhile, and the name is not probed before that.
 
 // backoff is the time until which a name wants no calls.
 type backoff struct {
@@ -58,9 +58,9 @@
 	b.backoffs[name] = e
 }
 
-// TransferBackoff copies the backoff that from has requested, shortened to limit from now on, to
-// another name, if answeredByTo says of the latest call whose response requested it that to gave
-// that response. A longer backoff of to stays.
+// TransferBackoff copies the backoff of the name from to the name to, if to gave the response that
+// requested it: answeredByTo reports that, given the time at which the call was sent. The copy ends
+// limit from now at the latest. A longer backoff of to stays.
 func (b *Set) TransferBackoff(from, to string, limit time.Duration, answeredByTo func(sent time.Time) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -111,10 +111,10 @@
 	Services map[string]*Service
 	Stores   []CacheStore // sorted by address
 
-	routes            map[string][]*Route // by host, longest prefix first
-	customers         map[string]*Customer
+	routes            map[string][]*Route  // by host, longest prefix first
+	customers         map[string]*Customer // by API key
 	hasKeys           bool
-	isolatedCustomers string
+	isolatedCustomers string // names, sorted and separated by commas
 }
 
 // ConfigSpec is a configuration as an adapter has decoded it.
@@ -134,13 +134,13 @@
 }
 
 // NewConfig indexes a configuration.
-func NewConfig(d ConfigSpec) *Config {
-	c := &Config{Version: d.Version, Limits: d.Limits, Services: map[string]*Service{}, Stores: slices.Clone(d.Stores),
-		routes: map[string][]*Route{}, customers: map[string]*Customer{}, hasKeys: len(d.Customers) > 0}
-	for _, s := range d.Services {
+func NewConfig(spec ConfigSpec) *Config {
+	c := &Config{Version: spec.Version, Limits: spec.Limits, Services: map[string]*Service{}, Stores: slices.Clone(spec.Stores),
+		routes: map[string][]*Route{}, customers: map[string]*Customer{}, hasKeys: len(spec.Customers) > 0}
+	for _, s := range spec.Services {
 		c.Services[s.Name] = &s
 	}
-	for _, r := range d.Routes {
+	for _, r := range spec.Routes {
 		host := strings.ToLower(r.Host)
 		c.routes[host] = append(c.routes[host], &r)
 	}
@@ -148,7 +148,7 @@
 		slices.SortStableFunc(rs, func(a, b *Route) int { return cmp.Compare(len(b.PathPrefix), len(a.PathPrefix)) })
 	}
 	var isolated []string
-	for _, ck := range d.Customers {
+	for _, ck := range spec.Customers {
 		cust := ck.Customer
 		for _, key := range ck.Keys {
 			c.customers[key] = &cust
@@ -222,7 +222,7 @@
 	// ID identifies this incarnation, see WithID. What is known under an ID ends with its
 	// incarnation.
 	ID       string         `cbor:"-"`
-	Name     string         `cbor:"1,keyasint"`           // of its entry, and as the server knows itself
+	Name     string         `cbor:"1,keyasint"`           // of its entry; the server knows itself by the same name
 	Start    int64          `cbor:"2,keyasint,omitempty"` // of this incarnation, Unix ms by the server's clock; 0: not known
 	Revision uint64         `cbor:"3,keyasint"`           // of its entry in the object store
 	Service  string         `cbor:"4,keyasint,omitempty"`
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -88,7 +88,7 @@
 // is left that has a request running or may still carry one. It closes connections that have
 // been idle for linger and, once the stop has lasted for linger, all idle ones and those on
 // which no first request has arrived for linger. The caller of a response that ends so late was
-// not told to go elsewhere, and little time would be left for its next request.
+// not told to use another server, and little time would be left for its next request.
 func (c *Conns) closeUnused(began, now time.Time, linger time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -37,8 +37,9 @@
 // Names returns the evacuated zones, sorted.
 func (z *Zones) Names() []string { return slices.Sorted(maps.Keys(z.zones)) }
 
-// ApplyList replaces the list by that of a later revision, whose last change was at lastChange. It
-// reports whether zones were added or removed.
+// ApplyList replaces the list by that of a later revision, whose last change was at lastChange. A
+// list of the same or an earlier revision is ignored. It reports whether zones were added or
+// removed.
 func (z *Zones) ApplyList(revision, lastChange platform.Version, zones []string) bool {
 	if z.Listed() && revision <= z.revision {
 		return false
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -71,7 +71,7 @@
 	byID map[string]*Record
 }
 
-// NewLog returns a log that retains n records.
+// NewLog returns a log that retains n records; n must be positive.
 func NewLog(n int) *Log { return &Log{ring: make([]*Record, n), byID: make(map[string]*Record, n)} }
 
 // Add adds a finished record, which must not be modified afterwards.
--- a/internal/kvstore/kvstore.go
+++ b/internal/kvstore/kvstore.go
@@ -42,7 +42,7 @@
 	Pieces  []Piece `json:"pieces"`
 }
 
-// LookupRequest queries how much of a chain is stored.
+// LookupRequest asks how much of a chain is stored.
 type LookupRequest struct {
 	Keys []string `json:"cache_keys"`
 }
@@ -96,9 +96,9 @@
 // maxResponseBytes is the maximum size of a store's response.
 const maxResponseBytes = 1 << 20
 
-// NewClient returns a client with connect as its connection timeout.
-func NewClient(connect time.Duration) *Client {
-	dialer := &net.Dialer{Timeout: connect}
+// NewClient returns a client whose connection setup is limited to connectTimeout.
+func NewClient(connectTimeout time.Duration) *Client {
+	dialer := &net.Dialer{Timeout: connectTimeout}
 	return &Client{http: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 32, IdleConnTimeout: time.Minute}}}
 }
 
@@ -118,6 +118,7 @@
 	return out, c.call(ctx, http.MethodGet, address, "/v1/status", nil, &out)
 }
 
+// call sends a request to a store and decodes the JSON response into out.
 func (c *Client) call(ctx context.Context, method, address, path string, body []byte, out any) error {
 	fail := func(status int, err error) error {
 		return &Error{Store: address, Path: path, Status: status, Cause: err}
--- a/internal/loadreport/latest_reports.go
+++ b/internal/loadreport/latest_reports.go
@@ -14,8 +14,9 @@
 	byPeer map[string]report[T] // by instance name
 }
 
+// report is the content of a peer's report, with its number and the time of receipt.
 type report[T any] struct {
-	seq      uint64
+	seq      uint64 // increases with each report of a peer until the peer restarts
 	received time.Time
 	content  T
 }
@@ -24,26 +25,27 @@
 	return &latestReports[T]{maxAge: maxAge, byPeer: map[string]report[T]{}}
 }
 
-// apply keeps a peer's report, unless a newer one is known that has not expired: a restarted peer
-// numbers its reports from 1 again. A report is not changed after this call.
-func (b *latestReports[T]) apply(from string, seq uint64, content T, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if old, ok := b.byPeer[from]; ok && seq <= old.seq && now.Sub(old.received) < b.maxAge {
+// apply stores a peer's report, unless one with the same or a higher number is stored and has not
+// expired. An expired one doesn't count: a restarted peer numbers its reports from 1 again. The
+// content must not be modified after this call.
+func (l *latestReports[T]) apply(from string, seq uint64, content T, now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if old, ok := l.byPeer[from]; ok && seq <= old.seq && now.Sub(old.received) < l.maxAge {
 		return
 	}
-	b.byPeer[from] = report[T]{seq: seq, received: now, content: content}
+	l.byPeer[from] = report[T]{seq: seq, received: now, content: content}
 }
 
-// each calls f for each report that has not expired, and forgets the others. f must not call
-// methods of b, whose lock is held.
-func (b *latestReports[T]) each(now time.Time, f func(from string, content T, age time.Duration)) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for from, r := range b.byPeer {
+// each calls f for each report that has not expired, and removes the others. f must not call
+// methods of l, whose lock is held.
+func (l *latestReports[T]) each(now time.Time, f func(from string, content T, age time.Duration)) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for from, r := range l.byPeer {
 		age := now.Sub(r.received)
-		if age >= b.maxAge {
-			delete(b.byPeer, from)
+		if age >= l.maxAge {
+			delete(l.byPeer, from)
 			continue
 		}
 		f(from, r.content, age)
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -1,5 +1,5 @@
-// Package metric defines every metric of the daemon. docs/METRICS.md describes
-// them for operators.
+// Package metric defines the counters and histograms of the daemon; gauges are named where
+// they are set, see SetGauge. docs/METRICS.md describes all of them for operators.
 package metric
 
 import (
@@ -11,7 +11,7 @@
 
 // Counters and histograms without labels.
 var (
-	SavesSkipped          = metrics.NewCounter("shedhoist_keeps_skipped_total")
+	SavesSkipped          = metrics.NewCounter("shedhoist_keeps_skipped_total") // because too many exports were in progress
 	SavedBytes            = metrics.NewCounter("shedhoist_kept_bytes_total")
 	Retries               = metrics.NewCounter("shedhoist_retries_total")
 	Resumes               = metrics.NewCounter("shedhoist_resumes_total")
@@ -33,7 +33,7 @@
 	// UnreadableWeightVersions counts weight version objects that can't be read.
 	UnreadableWeightVersions = metrics.NewCounter("shedhoist_weight_versions_unreadable_total")
 	UnreadableObjects        = metrics.NewCounter("shedhoist_objects_unreadable_total")
-	MismatchedResponses      = metrics.NewCounter("shedhoist_mismatched_answers_total")
+	MismatchedResponses      = metrics.NewCounter("shedhoist_mismatched_answers_total") // responses that belong to another request
 	PromptTokens             = metrics.NewCounter("shedhoist_prompt_tokens_total")
 	CachedTokens             = metrics.NewCounter("shedhoist_prompt_tokens_cached_total")
 	RestoredTokens           = metrics.NewCounter("shedhoist_prompt_tokens_restored_total")
--- a/internal/netx/netx.go
+++ b/internal/netx/netx.go
@@ -1,4 +1,4 @@
-// Package netx holds connection code that all network clients and servers share:
+// Package netx holds connection code that network clients and servers share:
 // dialers and listeners that detect unresponsive peers, HTTP transports, and request
 // bodies that net/http can't replay.
 package netx
@@ -31,8 +31,8 @@
 
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}
 
-// setUserTimeout limits how long sent bytes may stay unacknowledged. Errors are ignored:
-// a kernel without the option still has the keep-alive probes.
+// setUserTimeout limits how long sent bytes may stay unacknowledged. It ignores that the
+// kernel rejects the option: the keep-alive probes still work without it.
 func setUserTimeout(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
@@ -73,7 +73,7 @@
 type singleUseReader struct{ r io.Reader }
 
 // Read implements io.Reader.
-func (b singleUseReader) Read(p []byte) (int, error) { return b.r.Read(p) }
+func (s singleUseReader) Read(p []byte) (int, error) { return s.r.Read(p) }
 
 // SingleUseBody returns a request body that can be sent only once.
 func SingleUseBody(r io.Reader) io.ReadCloser { return io.NopCloser(singleUseReader{r}) }
--- a/internal/peer/auth.go
+++ b/internal/peer/auth.go
@@ -20,7 +20,7 @@
 // handshakeTimeout bounds the authentication of a new connection.
 const handshakeTimeout = 2 * time.Second
 
-// AuthenticationError says that the remote side was not authenticated as a peer.
+// AuthenticationError reports that the remote side was not authenticated as a peer.
 type AuthenticationError struct {
 	Address string
 	Cause   error
@@ -38,13 +38,14 @@
 // Unwrap returns the cause.
 func (e *AuthenticationError) Unwrap() error { return e.Cause }
 
+// nonceSize is the length of a nonce in bytes.
 const nonceSize = 32
 
 // computeMAC returns the MAC that one side sends. It covers both nonces and the side's
-// role, so that neither side's MAC can be replayed as the other's.
-func computeMAC(secret []byte, side string, dialerNonce, acceptorNonce []byte) []byte {
+// role, "dialer" or "acceptor", so that neither side's MAC can be replayed as the other's.
+func computeMAC(secret []byte, role string, dialerNonce, acceptorNonce []byte) []byte {
 	mac := hmac.New(sha256.New, secret)
-	mac.Write([]byte("shedhoist/peer/1/" + side))
+	mac.Write([]byte("shedhoist/peer/1/" + role))
 	mac.Write(dialerNonce)
 	mac.Write(acceptorNonce)
 	return mac.Sum(nil)
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -118,6 +118,7 @@
 	return 0, &UnavailableError{Op: r.op, Key: r.key, Status: resp.StatusCode}
 }
 
+// getJSON sends a read request and decodes the response into out. key is for errors only.
 func (c *Client) getJSON(ctx context.Context, op, path, key string, out any) error {
 	_, body, err := c.do(ctx, request{op: op, method: http.MethodGet, path: path, key: key, maxBytes: maxListingBytes})
 	if err != nil {
@@ -129,6 +130,8 @@
 	return nil
 }
 
+// do sends a request and returns the response with its body, which is closed. A status of
+// 500 or above or 429 is an error; the caller checks the others.
 func (c *Client) do(ctx context.Context, r request) (*http.Response, []byte, error) {
 	isWrite := r.wantVersion != nil
 	fail := func(status int, err error) error {
@@ -179,6 +182,7 @@
 	return "/v1/objects/" + (&url.URL{Path: key}).EscapedPath()
 }
 
+// setCondition makes a write conditional on the object's version; 0: it does not exist.
 func setCondition(h http.Header, want Version) {
 	if want == 0 {
 		h.Set("If-None-Match", "*")
@@ -187,6 +191,7 @@
 	h.Set("If-Match", `"`+strconv.FormatUint(uint64(want), 10)+`"`)
 }
 
+// etag returns the version in the ETag header, or 0 if it has none.
 func etag(resp *http.Response) Version {
 	n, err := strconv.ParseUint(strings.Trim(resp.Header.Get("ETag"), `"`), 10, 64)
 	if err != nil {
--- a/internal/target/engine.go
+++ b/internal/target/engine.go
@@ -91,7 +91,7 @@
 	ID       string
 	Body     Body
 	Deadline time.Time
-	Now      time.Time
+	Now      time.Time // current time; the engine is sent the time from Now to Deadline
 }
 
 // Chunk is one event of the response stream of a run.
@@ -142,7 +142,9 @@
 	return &Stream{target: r.Target, resp: resp, next: next, stop: stop, cancel: cancel}, nil
 }
 
-// checkResponse checks that a response belongs to the run and has status 200.
+// checkResponse checks that a response belongs to the run and has status 200. The type of
+// the error tells what is known of the run, see RefusedError, RejectedError and
+// IncompleteError.
 func checkResponse(r Run, resp *http.Response) error {
 	if got := resp.Header.Get(HeaderRequestID); got != r.ID {
 		return &MismatchError{Target: r.Target, WantID: r.ID, GotID: got}
@@ -277,7 +279,8 @@
 	return out, c.call(ctx, http.MethodPost, address, "/kv/export", encode(e), &out)
 }
 
-// call sends a control request and decodes the JSON response into out.
+// call sends a control request and decodes the JSON response into out. Status 412 is that
+// of an order with an outdated fencing token.
 func (c *Client) call(ctx context.Context, method, address, path string, body []byte, out any) error {
 	fail := func(status int, err error) error {
 		return &CallError{Target: address, Path: path, Status: status, Cause: err}
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -20,7 +20,7 @@
 type Customer struct {
 	config.Customer
 	Rates    limit.Rates
-	Secret   []byte
+	Secret   []byte // decoded from hexadecimal
 	models   map[string]bool
 	services map[string]bool
 }
@@ -38,12 +38,13 @@
 	Policy    config.Policy
 	Models    map[string]*config.Model
 	Services  map[string]*config.Service
-	Drained   map[string]bool
+	Drained   map[string]bool      // by machine name
 	customers map[string]*Customer // by KeyHash of a key
 	operators map[string]string    // name by KeyHash of a key
 }
 
-// NewConfig builds the indexes of a generation.
+// NewConfig builds the indexes of a generation. It fails if a customer's secret is not
+// hexadecimal.
 func NewConfig(h config.Head, b *config.Bundle) (*Config, error) {
 	c := &Config{Head: h, Bundle: b, Policy: b.PolicyOrDefault(), Models: map[string]*config.Model{},
 		Services: map[string]*config.Service{}, Drained: map[string]bool{}, customers: map[string]*Customer{}, operators: map[string]string{}}
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -30,8 +30,8 @@
 // MaxRetryAfter is the upper bound of RetryAfter.
 const MaxRetryAfter = time.Hour
 
-// RetryAfter returns the wait for a Retry-After value in seconds, at most
-// MaxRetryAfter; 0 means no wait.
+// RetryAfter converts a Retry-After value in seconds to a duration, at most
+// MaxRetryAfter. It returns 0, no wait, if the value is not a positive number.
 func RetryAfter(seconds float64) time.Duration {
 	if !(seconds > 0) { // also true for NaN
 		return 0
