--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -29,7 +29,8 @@
 // Admission admits a customer's request, or refuses it with a *problem.Problem.
 type Admission interface {
 	// Admit returns a function that must be called exactly once when the request
-	// ends, with the number of tokens it generated.
+	// ends, with the number of tokens it generated. The customer's limits are shared
+	// by all live instances, whose number is instances.
 	Admit(c *view.Customer, promptTokens, instances int) (release func(generated int), err error)
 }
 
@@ -85,7 +86,7 @@
 	arrived  time.Time
 	view     *view.View
 	customer *view.Customer
-	bodyRead bool
+	bodyRead bool // if false when the request fails, the connection is closed instead of reading the rest
 }
 
 type callContextKey struct{}
@@ -110,7 +111,8 @@
 	}
 }
 
-// authenticate looks up the customer of the key. Repeated calls have no effect.
+// authenticate looks up the customer of the key. After a successful call, further calls
+// have no effect.
 func (c *call) authenticate() error {
 	if c.customer != nil {
 		return nil
@@ -182,5 +184,5 @@
 // without limit.
 func abandonBody(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
-	_ = http.NewResponseController(w).SetReadDeadline(time.Unix(1, 0))
+	_ = http.NewResponseController(w).SetReadDeadline(time.Unix(1, 0)) // in the past: reads fail at once
 }
--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -37,7 +37,7 @@
 	Cert, Key, CA string
 }
 
-// credentials is the parsed content of Files.
+// credentials is the parsed content of Files. The pool is nil without a CA file.
 type credentials struct {
 	cert *tls.Certificate
 	pool *x509.CertPool
@@ -91,6 +91,8 @@
 	return creds, nil
 }
 
+// readModTimes returns the modification times of Cert, Key and CA, and the zero time
+// for a file that can't be accessed.
 func (r *Reloader) readModTimes() [3]time.Time {
 	var out [3]time.Time
 	for i, f := range [...]string{r.files.Cert, r.files.Key, r.files.CA} {
@@ -135,10 +137,10 @@
 // present a certificate that it issued.
 func (r *Reloader) Server() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-		m := r.current()
-		c := &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{*m.cert}, NextProtos: []string{"http/1.1"}}
-		if m.pool != nil {
-			c.ClientAuth, c.ClientCAs = tls.RequireAndVerifyClientCert, m.pool
+		creds := r.current()
+		c := &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{*creds.cert}, NextProtos: []string{"http/1.1"}}
+		if creds.pool != nil {
+			c.ClientAuth, c.ClientCAs = tls.RequireAndVerifyClientCert, creds.pool
 		}
 		return c, nil
 	}}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -60,13 +60,13 @@
 	b.Targets[5].Zone = "y"
 	changed, err := config.Split(b)
 	is.NoErr(err)
-	differ := 0
+	changedBuckets := 0
 	for id := range changed {
 		if string(changed[id]) != string(parts[id]) {
-			differ++
+			changedBuckets++
 		}
 	}
-	is.Equal(differ, 1)
+	is.Equal(changedBuckets, 1)
 }
 
 // TestConcurrentChanges checks that of many concurrent changes made from the
@@ -93,11 +93,11 @@
 	h, _, err := r.Head(t.Context())
 	is.NoErr(err)
 	is.Equal(h.Generation, uint64(1))
-	won := 0
+	accepted := 0
 	for i, err := range errs {
 		var conflict *config.ConflictError
 		if err == nil {
-			won++
+			accepted++
 			is.Equal(h.Message, fmt.Sprint(i))
 			continue
 		}
@@ -105,7 +105,7 @@
 		is.Equal(conflict.Winner.Nonce, h.Nonce)
 		is.Equal(conflict.Message, fmt.Sprint(i))
 	}
-	is.Equal(won, 1)
+	is.Equal(accepted, 1)
 }
 
 // TestLostResponses loses writes before or after they take effect. A change
@@ -181,7 +181,7 @@
 			t.Fatal(err)
 		}
 		if edits, err := config.Diff(b, back); err != nil || len(edits) > 0 {
-			t.Fatalf("%v %v", edits, err)
+			t.Fatalf("Diff of the bundle with its copy from Split and Join returned %v, %v; want no edits", edits, err)
 		}
 	})
 }
--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -12,7 +12,7 @@
 
 // recordBackoff records the backoff that a target requested by refusing a request
 // with a Retry-After. Until it ends, nothing is sent to the target, even if there
-// is no other.
+// is no other target.
 func (d *Dispatcher) recordBackoff(breakers *breaker.Set, name, request string, err error) {
 	var refused *target.RefusedError
 	if !errors.As(err, &refused) || refused.RetryAfter <= 0 {
@@ -26,7 +26,7 @@
 		WithField("until", until.UTC().Format(time.RFC3339Nano)).Info("target asks for rest")
 }
 
-// backoffTargets returns the names in backoff.
+// backoffTargets returns the names of the targets in backoff.
 func backoffTargets(breakers *breaker.Set) []string {
 	var out []string
 	for name := range breakers.Backoffs() {
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -16,8 +16,8 @@
 	"github.com/shedhoist/shedhoist/internal/platform"
 )
 
-// Partitions is the number of chains that claims are hashed to. With
-// atmostonce.DefaultParams they make at most 160 writes per second in total.
+// Partitions is the number of partitions that claims are distributed over by their
+// ID. With atmostonce.DefaultParams they make at most 160 writes per second in total.
 const Partitions = 16
 
 // UnavailableError reports that a claim could not be made durable, or that it is
@@ -73,6 +73,7 @@
 // context given to New.
 func (l *Ledger) Wait() { l.wg.Wait() }
 
+// runnerFor returns the runner of partition n and starts it on first use.
 func (l *Ledger) runnerFor(n int) *runner {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -120,7 +121,7 @@
 
 // Limits of a runner.
 const (
-	opBacklog          = 4096
+	opBacklog          = 4096            // operations queued for a partition; submit blocks when the queue is full
 	callTimeout        = 2 * time.Second // for one write, one load of the tip or one read of a segment
 	retryDelay         = 100 * time.Millisecond
 	maxConcurrentReads = 8 // segments read concurrently
@@ -132,9 +133,10 @@
 	prefix    string
 	ops       chan op
 	partition *atmostonce.Partition
-	failures  int
+	failures  int // since the last completed write; a conflict counts as completed
 }
 
+// submit queues an operation. It returns false if ctx or the ledger's context ends first.
 func (r *runner) submit(ctx context.Context, o op) bool {
 	select {
 	case r.ops <- o:
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -20,8 +20,8 @@
 	"github.com/shedhoist/shedhoist/internal/view"
 )
 
-// Fleet is the response of /v1/status: whether the newest generation that is in force
-// on any instance is in force on all.
+// Fleet is the response of /v1/status. It shows whether all instances have the newest
+// configuration generation that is in force on any of them.
 type Fleet struct {
 	Generation        uint64        `json:"generation"` // highest in force on any instance
 	InForceEverywhere bool          `json:"in_force_everywhere"`
@@ -54,7 +54,7 @@
 	RTTMS        float64  `json:"rtt_ms"`
 }
 
-// State is the access of the API to the state of the process and of the fleet.
+// State gives the API access to the state of the process and of the fleet.
 type State interface {
 	View() *view.View
 	Fleet(ctx context.Context) Fleet
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -74,8 +74,11 @@
 	Format string `toml:"format" validate:"oneof=json text"`
 }
 
-// Limits holds the limits on one request or connection of a caller, and the
-// number of explain records kept.
+// Limits holds the limits on one request, response or connection of a caller, and
+// the number of explain records kept (WhyRecords). HeaderSeconds and BodySeconds
+// limit how long reading the header and the body may take, IdleSeconds how long an
+// idle connection stays open; the limits on headers and idle connections also apply to
+// operators. AnswerBytes limits a plain service's response.
 type Limits struct {
 	HeaderBytes   int `toml:"header_bytes" validate:"min=1024,max=1048576"`
 	BodyBytes     int `toml:"body_bytes" validate:"min=1024,max=67108864"`
@@ -86,7 +89,9 @@
 	WhyRecords    int `toml:"why_records" validate:"min=1,max=1000000"`
 }
 
-// Timing holds periods in milliseconds.
+// Timing holds periods and timeouts in milliseconds. On shutdown the daemon reports
+// not ready and accepts requests for DrainNoticeMS, and then finishes the requests in
+// flight within DrainMS.
 type Timing struct {
 	DrainNoticeMS int `toml:"drain_notice_ms" validate:"min=0,max=600000"`
 	DrainMS       int `toml:"drain_ms" validate:"min=0,max=3600000"`
@@ -122,7 +127,7 @@
 
 // Parse decodes and validates the content of a settings file. It reads the
 // secret files that the settings refer to and checks that the TLS files are
-// readable. File is used in errors only.
+// readable. The name file is used in errors only.
 func Parse(file string, data []byte) (*Settings, error) {
 	s := Default()
 	ix, err := tomlfile.Decode(file, data, &s)
@@ -142,6 +147,8 @@
 	return &s, nil
 }
 
+// readSecret stores the content of file, without trailing newlines, in dst. Without
+// a file, dst keeps the value given in the settings.
 func readSecret(ix *tomlfile.Index, key, file string, dst *string) tomlfile.Errors {
 	if file == "" {
 		return nil
@@ -194,6 +201,7 @@
 	return errs
 }
 
+// fileReason returns the reason to report for a file that could not be read.
 func fileReason(err error) string {
 	switch {
 	case os.IsNotExist(err):
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -175,6 +175,7 @@
 	return path, line
 }
 
+// joinKey returns the dotted key of a key-value pair and its line.
 func joinKey(p *unstable.Parser, e *unstable.Node) (string, int) {
 	var parts []string
 	line := 0
@@ -251,6 +252,7 @@
 	return out
 }
 
+// violation returns the reason to report for a field that fails a rule.
 func violation(f validator.FieldError) string {
 	switch f.Tag() {
 	case "required":
--- a/internal/tool/config.go
+++ b/internal/tool/config.go
@@ -102,10 +102,11 @@
 	})
 }
 
+// applyFlags holds the flags of apply.
 type applyFlags struct {
 	message     string
 	base        uint64
-	baseSet     bool
+	baseSet     bool // whether --base was given
 	wait        bool
 	waitTimeout time.Duration
 }
@@ -238,7 +239,7 @@
 	return r.Bundle(ctx, h)
 }
 
-// headAt returns the head of a past generation, or the current one.
+// headAt returns the head of a generation, past or current.
 func headAt(ctx context.Context, r *config.Repo, generation uint64) (config.Head, error) {
 	current, _, err := r.Head(ctx)
 	if err != nil {
